--- a/source/circle/circle.cpp
+++ b/source/circle/circle.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span tick_span = milliseconds(250);
-constexpr Span totals_span = milliseconds(1000);
-constexpr Span aged = milliseconds(3000);
-constexpr Span report_span = milliseconds(1500);  // in which each daemon reports once at least
-constexpr Span early_gap = milliseconds(2000);
-constexpr Span settle = milliseconds(2500);
-constexpr Span dark_span = std::chrono::seconds(5);
+constexpr Duration tick_span = milliseconds(250);
+constexpr Duration totals_span = milliseconds(1000);
+constexpr Duration aged = milliseconds(3000);
+constexpr Duration report_span = milliseconds(1500);  // in which each daemon reports once at least
+constexpr Duration early_gap = milliseconds(2000);
+constexpr Duration settle = milliseconds(2500);
+constexpr Duration dark_span = std::chrono::seconds(5);
 constexpr std::size_t recent_samples = 8;
 constexpr std::size_t most_samples = 4096;
-constexpr double squeezed = 0.6;                     // load that live work bears while lots need what runners there are
-constexpr Span law_kept = std::chrono::seconds(15);  // a cycle that changes nothing is written no oftener
-constexpr Span quiet_span = std::chrono::seconds(60);         // without any prompt, after which little is needed
-constexpr Span quiet_beside_lots = std::chrono::seconds(10);  // the same while lots wait for runners
+constexpr double squeezed = 0.6;  // load that live work bears while lots need what runners there are
+constexpr Duration law_kept = std::chrono::seconds(15);           // a cycle that changes nothing is written no oftener
+constexpr Duration quiet_span = std::chrono::seconds(60);         // without any prompt, after which little is needed
+constexpr Duration quiet_beside_lots = std::chrono::seconds(10);  // the same while lots wait for runners
 }  // namespace
 
 double load_of(const std::map<std::string, std::uint32_t>& open, std::uint32_t queued,
@@ -35,19 +35,19 @@
   return slots == 0 ? 0 : busy / slots;
 }
 
-bool CircleDuty::State::shaken(const std::string& runner, Span ramp, Moment now) const {
+bool CircleDuty::State::shaken(const std::string& runner, Duration ramp, TimePoint now) const {
   const auto found = failed.find(runner);
   return found != failed.end() && now - found->second < ramp;
 }
 
 // A daemon that tries seldom learns late that a runner is back: what it saw fail before the runner answered another one
 // begins no ramp once more.
-bool CircleDuty::State::take_absence(const std::string& runner, const ObservedLoad& seen, Moment now) {
+bool CircleDuty::State::take_absence(const std::string& runner, const ObservedLoad& seen, TimePoint now) {
   if (!seen.failed) return false;
-  const Moment failure = now + -seen.failure.value_or(Span{}), at = now + -*seen.failed;
+  const TimePoint failure = now + -seen.failure.value_or(Duration{}), at = now + -*seen.failed;
   if (auto known = returned.find(runner); known != returned.end() && failure <= known->second) return false;
   if (seen.returned) returned[runner] = at;
-  Moment& last = failed[runner];
+  TimePoint& last = failed[runner];
   const bool fresh = at > last + milliseconds(100);
   last = std::max(last, at);
   return fresh;
@@ -55,18 +55,18 @@
 
 CircleDuty::CircleDuty(Messenger& messenger, SharedState& shared_state)
     : messenger_(messenger), shared_state_(shared_state) {
-  messenger_.on_tell<LoadReport>([this](const Address& from, LoadReport load) {
+  messenger_.on_message<LoadReport>([this](const Address& from, LoadReport load) {
     auto found = states_.find(load.runner_kind);
     if (found == states_.end()) return;
     State& state = found->second;
-    const Moment now = messenger_.timers().now();
+    const TimePoint now = messenger_.timers().now();
     // A attempt that failed may mean a new start of the runner: that it is cold is told to all, not found out by each.
     bool fresh = false;
     for (const auto& [runner, seen] : load.runners) fresh = state.take_absence(runner, seen, now) || fresh;
     state.reports[{from, load.items}] = Report{std::move(load), now};
     if (fresh) pass();
   });
-  messenger_.on_tell<KindPending>([this](const Address& from, KindPending pending) {
+  messenger_.on_message<KindPending>([this](const Address& from, KindPending pending) {
     for (const auto& [kind, demand] : pending.kinds)
       if (auto found = states_.find(kind); found != states_.end())
         found->second.demands[from] = Demand{demand, messenger_.timers().now()};
@@ -102,7 +102,7 @@
   std::erase_if(states_, [&](const auto& entry) { return !configuration->kinds.contains(entry.first); });
 }
 
-bool CircleDuty::dark(const State& state, const std::string& runner, Moment now) const {
+bool CircleDuty::dark(const State& state, const std::string& runner, TimePoint now) const {
   std::size_t tried = 0, unhealthy = 0;
   for (const auto& [address, report] : state.reports) {
     if (now - report.heard > aged) continue;
@@ -115,7 +115,7 @@
 }
 
 // The shares of all daemons are meant to add up to no more than a runner takes.
-void CircleDuty::check_connections(const std::string& kind, std::uint32_t limit, State& state, Moment now) {
+void CircleDuty::check_connections(const std::string& kind, std::uint32_t limit, State& state, TimePoint now) {
   if (limit == 0) return;
   std::map<std::string, std::uint32_t> connections;
   for (const auto& [from, report] : state.reports)
@@ -134,7 +134,7 @@
 }
 
 std::set<std::string> CircleDuty::able_runners(const ConfigurationView& configuration, const std::string& kind,
-                                               State& state, Moment now) const {
+                                               State& state, TimePoint now) const {
   std::set<std::string> able;
   for (const auto& [name, runner] : configuration.runners) {
     if (runner.spec.kind.text != kind || runner.spec.leaving || configuration.evacuated(runner.spec.zone)) continue;
@@ -146,7 +146,7 @@
   return able;
 }
 
-CircleDuty::Observed CircleDuty::observe(const Members& members, const Circle& before, State& state, Moment now) {
+CircleDuty::Observed CircleDuty::observe(const Members& members, const Circle& before, State& state, TimePoint now) {
   Observed seen;
   for (auto entry = state.reports.begin(); entry != state.reports.end();) {
     auto member = members.all.find(entry->first.first);
@@ -182,12 +182,12 @@
 
 // No oftener than the reports that the totals are made of.
 void CircleDuty::tell_totals(const std::string& kind, const Members& members, const Observed& seen, State& state,
-                             Moment now) {
+                             TimePoint now) {
   if (now - state.totals_told < totals_span) return;
   state.totals_told = now;
   const LoadTotals told{kind, seen.totals};
   for (const auto& [address, member] : members.all)
-    member.routes() ? messenger_.tell(address, told) : messenger_.tell(address, PlacerTotals{told});
+    member.routes() ? messenger_.send(address, told) : messenger_.send(address, PlacerTotals{told});
 }
 
 CircleDuty::Bounds CircleDuty::bounds(const Table<Runner>& runners, const std::set<std::string>& able,
@@ -223,10 +223,10 @@
 }
 
 std::size_t CircleDuty::step(const CircleSettings& circle, const Bounds& limits, const Observed& seen,
-                             std::size_t routing, std::size_t size, State& state, Moment now, Circle& next) {
+                             std::size_t routing, std::size_t size, State& state, TimePoint now, Circle& next) {
   const std::size_t missing = routing > seen.fresh ? routing - seen.fresh : 0;
   // No load seen is no sign that little is needed, unless it stays so.
-  const Span quiet = seen.lots_wait() ? quiet_beside_lots : quiet_span;
+  const Duration quiet = seen.lots_wait() ? quiet_beside_lots : quiet_span;
   const bool evidence = state.samples_loaded > 0 || now - state.last_live >= quiet;
   const bool blind = now - state.since < settle || missing * 3 > routing || !evidence;
   const bool early = state.recent_load > circle.high_water && now - state.last_cycle >= early_gap;
@@ -258,7 +258,7 @@
 }
 
 void CircleDuty::run(const std::string& kind, const Kind& settings, State& state) {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   const auto configuration = shared_state_.configuration.get();
   const auto members = shared_state_.members.get();
   const Table<Runner>& runners = configuration->runners;
@@ -329,13 +329,15 @@
   write.key = "circle/" + kind;
   write.head = json::serialize(to_json(circle));
   write.fence = state.epoch.value;
-  messenger_.ask(messenger_.self(), write, milliseconds(2500), [this, kind, epoch = state.epoch](Result<WriteReply>) {
-    // The news brings the decision back within a round; writing again before that would only repeat it.
-    messenger_.timers().after(milliseconds(100), [this, kind, epoch] {
-      auto found = states_.find(kind);
-      if (found != states_.end() && found->second.epoch == epoch) found->second.writing = false;
-    });
-  });
+  messenger_.request(messenger_.self(), write, milliseconds(2500),
+                     [this, kind, epoch = state.epoch](Result<WriteReply>) {
+                       // The news brings the decision back within a round; writing again before that would only repeat
+                       // it.
+                       messenger_.timers().after(milliseconds(100), [this, kind, epoch] {
+                         auto found = states_.find(kind);
+                         if (found != states_.end() && found->second.epoch == epoch) found->second.writing = false;
+                       });
+                     });
 }
 
 }  // namespace mothwalk
--- a/source/circle/circle.hpp
+++ b/source/circle/circle.hpp
@@ -1,7 +1,7 @@
 // The circle duty: for each kind of runner one control daemon, the owner of the circle's key, decides each cycle which
 // runners take live prompts. Load comes from the daemons that route; runners report nothing.
 #pragma once
-#include "circle/law.hpp"
+#include "circle/pi_controller.hpp"
 #include "lots/messages.hpp"
 #include "replication/replicated_store.hpp"
 
@@ -12,16 +12,16 @@
   bool unhealthy = false;  // this daemon's attempts to it fail
   bool tried = false;      // this daemon has sent to it of late
   // How long ago it was away last, or answered again: it may have been started anew.
-  std::optional<Span> failed;
-  std::optional<Span> failure;    // with the former: how long ago an attempt to it failed last
-  bool returned = false;          // it was away, and answers this daemon again
-  std::uint32_t connections = 0;  // this daemon's, in use and idle, but for those it had no right to
+  std::optional<Duration> failed;
+  std::optional<Duration> failure;  // with the former: how long ago an attempt to it failed last
+  bool returned = false;            // it was away, and answers this daemon again
+  std::uint32_t connections = 0;    // this daemon's, in use and idle, but for those it had no right to
   MOTHWALK_FIELDS(open, unhealthy, tried, failed, failure, returned, connections)
 };
 // From each daemon to the owner of the circle's key, about once a second and soon after a attempt failed: of its live
 // prompts or, from its placing side, of its items.
 struct LoadReport {
-  static constexpr View kind = "circle.load";
+  static constexpr StringView kind = "circle.load";
   std::string runner_kind;
   std::uint64_t incarnation = 0;
   std::map<std::string, ObservedLoad> runners;
@@ -31,14 +31,14 @@
 };
 // From the circle duty to all daemons: what all of them together have open on each runner.
 struct LoadTotals {
-  static constexpr View kind = "routes.totals";
+  static constexpr StringView kind = "routes.totals";
   std::string runner_kind;
   std::map<std::string, RunnerTotal> runners;
   MOTHWALK_FIELDS(runner_kind, runners)
 };
 // The same to daemons that keep lots alone: they route no live prompts, but place items.
 struct PlacerTotals {
-  static constexpr View kind = "placing.totals";
+  static constexpr StringView kind = "placing.totals";
   LoadTotals totals;
   MOTHWALK_FIELDS(totals)
 };
@@ -54,49 +54,49 @@
   CircleDuty(Messenger& messenger, SharedState& shared_state);
   void start();
   const CircleCounts& counts() const { return counts_; }
-  std::function<void(View sentence)> note = [](View) {
+  std::function<void(StringView sentence)> note = [](StringView) {
   };  // told about each decision
 
  private:
   struct Report {
     LoadReport load;
-    Moment heard;
+    TimePoint heard;
   };
   struct Demand {
     LotDemand lots;
-    Moment heard;
+    TimePoint heard;
   };
   struct Ramp {
-    Moment cause;  // when the runner came in, failed or came back
-    Moment told;
+    TimePoint cause;  // when the runner came in, failed or came back
+    TimePoint told;
   };
   struct State {
     Epoch epoch;
-    Law law;
+    PiController law;
     bool law_loaded = false, writing = false;
     std::map<std::pair<Address, bool>, Report> reports;  // live and items apart
     std::vector<double> samples;
-    Moment since, last_cycle;
-    std::map<std::string, Moment> entered, failed;
-    std::map<std::string, Ramp> ramps;       // the latest of each runner
-    std::map<std::string, Moment> returned;  // when it answered a daemon again that had seen it away
-    std::map<Address, Demand> demands;       // of the lots of each owner
-    Moment written;
-    std::map<std::string, Moment> dark_until;
+    TimePoint since, last_cycle;
+    std::map<std::string, TimePoint> entered, failed;
+    std::map<std::string, Ramp> ramps;          // the latest of each runner
+    std::map<std::string, TimePoint> returned;  // when it answered a daemon again that had seen it away
+    std::map<Address, Demand> demands;          // of the lots of each owner
+    TimePoint written;
+    std::map<std::string, TimePoint> dark_until;
     std::set<std::string> over_limit;  // runners that have more connections than they take
-    Moment totals_told;
-    std::size_t samples_loaded = 0;          // of the samples, those with any load
-    Moment last_live;                        // when any prompt ran or waited last
-    std::optional<Moment> fewer_since;       // that fewer daemons route than the circle says
-    std::size_t substitutes = 0;             // members that stand in for others that failed of late
-    std::optional<Moment> all_inside_since;  // that every able runner is a member
-    std::optional<Moment> shared_for;        // when lots last had use for members that take items
-    double recent_load = 0, mean_load = 0;   // of the last samples, and of all since the last cycle
+    TimePoint totals_told;
+    std::size_t samples_loaded = 0;             // of the samples, those with any load
+    TimePoint last_live;                        // when any prompt ran or waited last
+    std::optional<TimePoint> fewer_since;       // that fewer daemons route than the circle says
+    std::size_t substitutes = 0;                // members that stand in for others that failed of late
+    std::optional<TimePoint> all_inside_since;  // that every able runner is a member
+    std::optional<TimePoint> shared_for;        // when lots last had use for members that take items
+    double recent_load = 0, mean_load = 0;      // of the last samples, and of all since the last cycle
     void sample(double load);
     // Takes what a daemon saw of a runner that was away; false where that says nothing new.
-    bool take_absence(const std::string& runner, const ObservedLoad& seen, Moment now);
+    bool take_absence(const std::string& runner, const ObservedLoad& seen, TimePoint now);
     // Whether an attempt to the runner has failed within the last ramp.
-    bool shaken(const std::string& runner, Span ramp, Moment now) const;
+    bool shaken(const std::string& runner, Duration ramp, TimePoint now) const;
   };
   // What the reports of all daemons say together.
   struct Observed {
@@ -114,28 +114,29 @@
   void tick();
   void pass();
   std::set<std::string> able_runners(const ConfigurationView& configuration, const std::string& kind, State& state,
-                                     Moment now) const;
-  static Observed observe(const Members& members, const Circle& before, State& state, Moment now);
-  void tell_totals(const std::string& kind, const Members& members, const Observed& seen, State& state, Moment now);
+                                     TimePoint now) const;
+  static Observed observe(const Members& members, const Circle& before, State& state, TimePoint now);
+  void tell_totals(const std::string& kind, const Members& members, const Observed& seen, State& state, TimePoint now);
   static Bounds bounds(const Table<Runner>& runners, const std::set<std::string>& able, const CircleSettings& circle,
                        const Observed& seen);
   // The size that the law gives, where a cycle is due and enough is known; else the one given.
   static std::size_t step(const CircleSettings& circle, const Bounds& limits, const Observed& seen, std::size_t routing,
-                          std::size_t size, State& state, Moment now, Circle& next);
+                          std::size_t size, State& state, TimePoint now, Circle& next);
   static std::string change(const Circle& before, const Circle& next);
   // The members that take items of lots beside live prompts: some where every able runner is a member and lots wait.
   static std::set<std::string> shared_with_lots(const Table<Runner>& runners, const Kind& kind,
                                                 const std::set<std::string>& able, const Circle& next,
-                                                const Observed& seen, State& state, Moment now);
+                                                const Observed& seen, State& state, TimePoint now);
   void appoint(const ConfigurationView& configuration, const Members& members, const std::set<std::string>& able,
                const std::set<std::string>& shared, const State& state, Circle& next) const;
   void run(const std::string& kind, const Kind& settings, State& state);
-  bool dark(const State& state, const std::string& runner, Moment now) const;
-  void check_connections(const std::string& kind, std::uint32_t limit, State& state, Moment now);
-  static std::size_t substitutes_for(const std::vector<RunnerId>& members, const State& state, Span ramp, Moment now);
-  static void follow_ramps(const Table<Runner>& runners, Span ramp, const Circle& before, State& state, Moment now,
-                           Circle& next);
-  static std::uint32_t count_daemons(const Members& members, const Circle& before, State& state, Moment now);
+  bool dark(const State& state, const std::string& runner, TimePoint now) const;
+  void check_connections(const std::string& kind, std::uint32_t limit, State& state, TimePoint now);
+  static std::size_t substitutes_for(const std::vector<RunnerId>& members, const State& state, Duration ramp,
+                                     TimePoint now);
+  static void follow_ramps(const Table<Runner>& runners, Duration ramp, const Circle& before, State& state,
+                           TimePoint now, Circle& next);
+  static std::uint32_t count_daemons(const Members& members, const Circle& before, State& state, TimePoint now);
   // Members spread over the zones as the live work does; every zone with work has one before any has two.
   static std::vector<RunnerId> match_members(const ConfigurationView& configuration, const std::set<std::string>& able,
                                              std::size_t size, const Circle& before,
--- a/source/circle/membership.cpp
+++ b/source/circle/membership.cpp
@@ -6,7 +6,7 @@
 namespace mothwalk {
 
 namespace {
-constexpr Span fewer_span = std::chrono::seconds(60);  // that fewer daemons route before shares are made for fewer
+constexpr Duration fewer_span = std::chrono::seconds(60);  // that fewer daemons route before shares are made for fewer
 }  // namespace
 
 std::vector<RunnerId> CircleDuty::match_members(const ConfigurationView& configuration,
@@ -34,7 +34,7 @@
     return warm_ones.contains(name);
   };
   auto cold = [&](const std::string& name) {
-    return configuration.runners.at(name).spec.cold > Span{};
+    return configuration.runners.at(name).spec.cold > Duration{};
   };
   for (const auto& name : members) ++in_zone[zone(name)];
   auto leave = [&](auto better) {
@@ -78,8 +78,8 @@
 
 // Where half of the members or more have failed of late, and take only the share of their ramp, as many others stand in
 // for them: the law sees the load too late, and counts their slots as whole.
-std::size_t CircleDuty::substitutes_for(const std::vector<RunnerId>& members, const State& state, Span ramp,
-                                        Moment now) {
+std::size_t CircleDuty::substitutes_for(const std::vector<RunnerId>& members, const State& state, Duration ramp,
+                                        TimePoint now) {
   const auto shaken = static_cast<std::size_t>(std::count_if(
       members.begin(), members.end(), [&](const RunnerId& member) { return state.shaken(member.text, ramp, now); }));
   const std::size_t wanted = members.size() - std::min(members.size(), state.substitutes);
@@ -88,8 +88,8 @@
 
 // A ramp begins with a new member, one that was started anew and one that failed or came back, and lasts from when the
 // circle tells it: daemons that did not see the failure themselves begin it then.
-void CircleDuty::follow_ramps(const Table<Runner>& runners, Span ramp, const Circle& before, State& state, Moment now,
-                              Circle& next) {
+void CircleDuty::follow_ramps(const Table<Runner>& runners, Duration ramp, const Circle& before, State& state,
+                              TimePoint now, Circle& next) {
   next.warm.clear();
   next.generations.clear();
   next.ramps.clear();
@@ -99,9 +99,9 @@
     const auto known = before.generations.find(name);
     const bool anew = before.has(name) && (known == before.generations.end() ? 0 : known->second) != generation;
     if (anew) state.entered[name] = now;
-    const Moment entered = state.entered.try_emplace(name, now).first->second;
+    const TimePoint entered = state.entered.try_emplace(name, now).first->second;
     const bool shaken = state.shaken(name, ramp, now);
-    const Moment cause = shaken ? std::max(entered, state.failed.at(name)) : entered;
+    const TimePoint cause = shaken ? std::max(entered, state.failed.at(name)) : entered;
     Ramp& latest = state.ramps[name];
     const auto count = before.ramps.find(name);
     next.ramps[name] = count == before.ramps.end() ? 0 : count->second;
@@ -117,7 +117,7 @@
 
 // More are counted at once, fewer only where it stays so: the shares of those that are away a moment are not given
 // away.
-std::uint32_t CircleDuty::count_daemons(const Members& members, const Circle& before, State& state, Moment now) {
+std::uint32_t CircleDuty::count_daemons(const Members& members, const Circle& before, State& state, TimePoint now) {
   const auto routing = static_cast<std::uint32_t>(members.routing());
   if (routing >= before.daemons) {
     state.fewer_since.reset();
--- a/source/circle/law.cpp
+++ b/source/circle/pi_controller.cpp
@@ -1,13 +1,13 @@
 // One step of the PI law, with dead band, limits on the step and clamping against wind-up.
-#include "circle/law.hpp"
+#include "circle/pi_controller.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 namespace mothwalk {
 
-std::size_t Law::step(double load, double target, std::size_t size_now, std::size_t lowest, std::size_t highest,
-                      bool may_shrink, bool overloaded) {
+std::size_t PiController::step(double load, double target, std::size_t size_now, std::size_t lowest,
+                               std::size_t highest, bool may_shrink, bool overloaded) {
   const double now = static_cast<double>(size_now);
   if (std::abs(size - now) > 1.0) size = now;
   double error = now * load / target - now;
--- a/source/circle/law.hpp
+++ b/source/circle/pi_controller.hpp
@@ -6,7 +6,7 @@
 
 namespace mothwalk {
 
-struct Law {
+struct PiController {
   double integral_gain = 0.6;
   double proportional_gain = 0.2;
   double dead_band = 0.5;  // runners; smaller errors change nothing
--- a/source/circle/placers.cpp
+++ b/source/circle/placers.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span appoint_after = milliseconds(1000);
-constexpr Span share_after = milliseconds(1000);      // that no runner is outside before members take items
-constexpr Span share_kept = std::chrono::seconds(5);  // after lots had use for it last
+constexpr Duration appoint_after = milliseconds(1000);
+constexpr Duration share_after = milliseconds(1000);      // that no runner is outside before members take items
+constexpr Duration share_kept = std::chrono::seconds(5);  // after lots had use for it last
 }  // namespace
 
 // With no runner outside, lots would wait for as long as that lasts, which is for ever where a kind has one runner or
 // keeps all in its circle. What a member may be given of them beside its prompts is bounded where items are placed.
 std::set<std::string> CircleDuty::shared_with_lots(const Table<Runner>& runners, const Kind& kind,
                                                    const std::set<std::string>& able, const Circle& next,
-                                                   const Observed& seen, State& state, Moment now) {
+                                                   const Observed& seen, State& state, TimePoint now) {
   if (able.empty() || next.members.size() < able.size()) {
     state.all_inside_since.reset();
     state.shared_for.reset();
@@ -32,7 +32,7 @@
   if (!wanted || now - *state.all_inside_since < share_after) return {};
   std::vector<std::string> order(able.begin(), able.end());
   auto rank = [&](const std::string& name) {
-    const bool cold = runners.at(name).spec.cold > Span{};
+    const bool cold = runners.at(name).spec.cold > Duration{};
     return std::make_tuple(cold, !next.placers.contains(name), hash_of(name));
   };
   std::sort(order.begin(), order.end(),
@@ -59,13 +59,13 @@
     if (member.keeps == "lots") busy[address] = 0;
   const std::set<std::string> inside = names_of(next.members);
   const bool warm_outside = std::any_of(able.begin(), able.end(), [&](const std::string& name) {
-    return !inside.contains(name) && configuration.runners.at(name).spec.cold <= Span{};
+    return !inside.contains(name) && configuration.runners.at(name).spec.cold <= Duration{};
   });
   std::map<std::string, Placer> placers;
   std::vector<std::string> open;
   for (const auto& name : able) {
     if ((inside.contains(name) && !shared.contains(name)) ||
-        (warm_outside && configuration.runners.at(name).spec.cold > Span{}))
+        (warm_outside && configuration.runners.at(name).spec.cold > Duration{}))
       continue;
     auto had = next.placers.find(name);
     auto member = had == next.placers.end() ? members.all.end() : members.all.find(had->second.address);
--- a/source/coding/cbor.cpp
+++ b/source/coding/cbor.cpp
@@ -3,7 +3,7 @@
 
 namespace mothwalk {
 
-bool CborReader::plausible(View bytes) {
+bool CborReader::claims_fit_input(StringView bytes) {
   std::uint64_t claimed = 0;
   for (std::size_t at = 0; at < bytes.size();) {
     const unsigned char head = static_cast<unsigned char>(bytes[at++]);
@@ -24,19 +24,19 @@
   return true;
 }
 
-bool CborReader::text(const cbor_item_t* item, View& out) {
+bool CborReader::decode_text(const cbor_item_t* item, StringView& out) {
   if (cbor_isa_string(item) && cbor_string_is_definite(item)) {
-    out = View(reinterpret_cast<const char*>(cbor_string_handle(item)), cbor_string_length(item));
+    out = StringView(reinterpret_cast<const char*>(cbor_string_handle(item)), cbor_string_length(item));
     return true;
   }
   if (cbor_isa_bytestring(item) && cbor_bytestring_is_definite(item)) {
-    out = View(reinterpret_cast<const char*>(cbor_bytestring_handle(item)), cbor_bytestring_length(item));
+    out = StringView(reinterpret_cast<const char*>(cbor_bytestring_handle(item)), cbor_bytestring_length(item));
     return true;
   }
   return false;
 }
 
-bool CborReader::whole(const cbor_item_t* item, std::int64_t& out, std::uint64_t& plain) {
+bool CborReader::decode_integer(const cbor_item_t* item, std::int64_t& out, std::uint64_t& plain) {
   if (!cbor_is_int(item)) return false;
   plain = cbor_get_int(item);
   if (cbor_isa_negint(item)) {
--- a/source/coding/cbor.hpp
+++ b/source/coding/cbor.hpp
@@ -16,7 +16,7 @@
       head(cbor_encode_bool, value);
     else if constexpr (std::is_same_v<T, double>)
       head(cbor_encode_double, value);
-    else if constexpr (std::is_same_v<T, Span>)
+    else if constexpr (std::is_same_v<T, Duration>)
       put(static_cast<std::int64_t>(value.count()));
     else if constexpr (std::is_same_v<T, std::string>) {
       head(cbor_encode_bytestring_start, value.size());
@@ -26,9 +26,9 @@
         head(cbor_encode_negint, static_cast<std::uint64_t>(-(static_cast<std::int64_t>(value) + 1)));
       else
         head(cbor_encode_uint, static_cast<std::uint64_t>(value));
-    } else if constexpr (is_name<T>::value)
+    } else if constexpr (is_strong_string<T>::value)
       put(value.text);
-    else if constexpr (is_number<T>::value)
+    else if constexpr (is_strong_integer<T>::value)
       put(value.value);
     else if constexpr (is_optional<T>::value) {
       if (value)
@@ -46,9 +46,9 @@
       }
     } else {
       std::size_t count = 0;
-      value.fields([&](View, const auto&) { ++count; });
+      value.fields([&](StringView, const auto&) { ++count; });
       head(cbor_encode_map_start, count);
-      value.fields([&](View name, const auto& field) {
+      value.fields([&](StringView name, const auto& field) {
         head(cbor_encode_string_start, name.size());
         out_.append(name);
         put(field);
@@ -68,12 +68,12 @@
 class CborReader {
  public:
   template <class T>
-  static bool read(View bytes, T& value) {
-    if (!plausible(bytes)) return false;
+  static bool read(StringView bytes, T& value) {
+    if (!claims_fit_input(bytes)) return false;
     cbor_load_result outcome;
     cbor_item_t* item = cbor_load(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), &outcome);
     if (item == nullptr) return false;
-    bool good = outcome.read == bytes.size() && take(item, value);
+    bool good = outcome.read == bytes.size() && decode(item, value);
     cbor_decref(&item);
     return good;
   }
@@ -81,11 +81,11 @@
  private:
   // libcbor makes room for as many members as a head claims: all heads together may not claim more than there are
   // bytes.
-  static bool plausible(View bytes);
-  static bool text(const cbor_item_t* item, View& out);
-  static bool whole(const cbor_item_t* item, std::int64_t& out, std::uint64_t& plain);
+  static bool claims_fit_input(StringView bytes);
+  static bool decode_text(const cbor_item_t* item, StringView& out);
+  static bool decode_integer(const cbor_item_t* item, std::int64_t& out, std::uint64_t& plain);
   template <class T>
-  static bool take(cbor_item_t* item, T& value) {
+  static bool decode(cbor_item_t* item, T& value) {
     if constexpr (std::is_same_v<T, bool>) {
       if (!cbor_is_bool(item)) return false;
       value = cbor_get_bool(item);
@@ -94,55 +94,55 @@
       if (!cbor_isa_float_ctrl(item) || cbor_float_ctrl_is_ctrl(item)) return false;
       value = cbor_float_get_float(item);
       return true;
-    } else if constexpr (std::is_same_v<T, Span>) {
+    } else if constexpr (std::is_same_v<T, Duration>) {
       std::int64_t count = 0;
-      if (!take(item, count)) return false;
-      value = Span{count};
+      if (!decode(item, count)) return false;
+      value = Duration{count};
       return true;
     } else if constexpr (std::is_same_v<T, std::string>) {
-      View view;
-      if (!text(item, view)) return false;
+      StringView view;
+      if (!decode_text(item, view)) return false;
       value.assign(view);
       return true;
     } else if constexpr (std::is_integral_v<T>) {
       std::int64_t with_sign = 0;
       std::uint64_t plain = 0;
-      if (!whole(item, with_sign, plain)) return false;
+      if (!decode_integer(item, with_sign, plain)) return false;
       value = std::is_signed_v<T> ? static_cast<T>(with_sign) : static_cast<T>(plain);
       return true;
-    } else if constexpr (is_name<T>::value) {
-      return take(item, value.text);
-    } else if constexpr (is_number<T>::value) {
-      return take(item, value.value);
+    } else if constexpr (is_strong_string<T>::value) {
+      return decode(item, value.text);
+    } else if constexpr (is_strong_integer<T>::value) {
+      return decode(item, value.value);
     } else if constexpr (is_optional<T>::value) {
       if (cbor_is_null(item)) {
         value.reset();
         return true;
       }
-      return take(item, value.emplace());
+      return decode(item, value.emplace());
     } else if constexpr (is_vector<T>::value) {
       if (!cbor_isa_array(item)) return false;
       value.clear();
       for (std::size_t index = 0; index < cbor_array_size(item); ++index)
-        if (!take(cbor_array_handle(item)[index], value.emplace_back())) return false;
+        if (!decode(cbor_array_handle(item)[index], value.emplace_back())) return false;
       return true;
     } else if constexpr (is_map<T>::value) {
       if (!cbor_isa_map(item)) return false;
       value.clear();
       for (std::size_t index = 0; index < cbor_map_size(item); ++index) {
         std::string key;
-        if (!take(cbor_map_handle(item)[index].key, key) || !take(cbor_map_handle(item)[index].value, value[key]))
+        if (!decode(cbor_map_handle(item)[index].key, key) || !decode(cbor_map_handle(item)[index].value, value[key]))
           return false;
       }
       return true;
     } else {
       if (!cbor_isa_map(item)) return false;
       bool good = true;
-      value.fields([&](View name, auto& field) {
+      value.fields([&](StringView name, auto& field) {
         for (std::size_t index = 0; good && index < cbor_map_size(item); ++index) {
-          View key;
-          if (text(cbor_map_handle(item)[index].key, key) && (key == name || key == former_name(name))) {
-            good = take(cbor_map_handle(item)[index].value, field);
+          StringView key;
+          if (decode_text(cbor_map_handle(item)[index].key, key) && (key == name || key == former_name(name))) {
+            good = decode(cbor_map_handle(item)[index].value, field);
             return;
           }
         }
@@ -160,7 +160,7 @@
 }
 
 template <class T>
-std::optional<T> from_cbor(View bytes) {
+std::optional<T> from_cbor(StringView bytes) {
   T value;
   if (!CborReader::read(bytes, value)) return std::nullopt;
   return value;
--- a/source/coding/dialect.cpp
+++ b/source/coding/dialect.cpp
@@ -1,5 +1,5 @@
 // The plain dialect and what all dialects need to look headers up.
-#include "seams/dialect.hpp"
+#include "interfaces/dialect.hpp"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
   return dialect;
 }
 
-bool same_name(View left, View right) {
+bool same_name(StringView left, StringView right) {
   auto lower = [](char letter) {
     return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + 32) : letter;
   };
@@ -18,14 +18,14 @@
                                                    [&](char one, char other) { return lower(one) == lower(other); });
 }
 
-const std::string* header_of(const std::vector<Header>& headers, View name) {
+const std::string* header_of(const std::vector<Header>& headers, StringView name) {
   for (const auto& header : headers)
     if (same_name(header.name, name)) return &header.value;
   return nullptr;
 }
 
-RequestFacts PlainDialect::read_request(const std::vector<Header>& headers) const {
-  RequestFacts facts;
+RequestInfo PlainDialect::read_request(const std::vector<Header>& headers) const {
+  RequestInfo facts;
   if (const auto* host = header_of(headers, "Host")) {
     facts.host = host->substr(0, host->find(':'));
     std::transform(facts.host.begin(), facts.host.end(), facts.host.begin(),
@@ -34,15 +34,15 @@
   return facts;
 }
 
-void PlainDialect::write_attempt(AttemptRequest&, const RequestFacts&, const AttemptFacts&) const {}
+void PlainDialect::write_attempt(AttemptRequest&, const RequestInfo&, const AttemptInfo&) const {}
 
-AnswerFacts PlainDialect::read_answer(int, const std::vector<Header>& headers, const RequestFacts&) const {
-  AnswerFacts answer;
+ResponseInfo PlainDialect::read_answer(int, const std::vector<Header>& headers, const RequestInfo&) const {
+  ResponseInfo answer;
   if (const auto* connection = header_of(headers, "Connection")) answer.closing = same_name(*connection, "close");
   return answer;
 }
 
-std::string PlainDialect::retry_after(Span span) const {
+std::string PlainDialect::retry_after(Duration span) const {
   return std::to_string(std::max<std::int64_t>(1, (span.count() + 999999) / 1000000));
 }
 
--- a/source/coding/digest.cpp
+++ b/source/coding/digest.cpp
@@ -6,7 +6,7 @@
 
 namespace mothwalk {
 
-Bytes digest_of(View content) {
+Bytes digest_of(StringView content) {
   static const boost::uuids::name_generator_sha1 generate{boost::uuids::uuid{}};
   const boost::uuids::uuid digest = generate(content.data(), content.size());
   return Bytes(digest.begin(), digest.end());
--- a/source/coding/fields.hpp
+++ b/source/coding/fields.hpp
@@ -21,16 +21,32 @@
   void fields(Visitor&& visit) const {           \
     MOTHWALK_EXPAND(MOTHWALK_VISIT(__VA_ARGS__)) \
   }
+#define MOTHWALK_VISIT_AS(outer, member, ...) \
+  visit(outer, member);                       \
+  __VA_OPT__(MOTHWALK_VISIT_AS_AGAIN MOTHWALK_PARENS(__VA_ARGS__))
+#define MOTHWALK_VISIT_AS_AGAIN() MOTHWALK_VISIT_AS
+// Lists a record's fields under outer names that are stated apart from the members, as pairs:
+// MOTHWALK_FIELDS_AS("seats", voters, "version", version). CBOR and JSON carry the outer names alone, so a member can
+// be renamed without a change to what is stored or sent.
+#define MOTHWALK_FIELDS_AS(...)                     \
+  template <class Visitor>                          \
+  void fields(Visitor&& visit) {                    \
+    MOTHWALK_EXPAND(MOTHWALK_VISIT_AS(__VA_ARGS__)) \
+  }                                                 \
+  template <class Visitor>                          \
+  void fields(Visitor&& visit) const {              \
+    MOTHWALK_EXPAND(MOTHWALK_VISIT_AS(__VA_ARGS__)) \
+  }
 
 namespace mothwalk {
 template <class T>
-struct is_name : std::false_type {};
+struct is_strong_string : std::false_type {};
 template <class Tag>
-struct is_name<Name<Tag>> : std::true_type {};
+struct is_strong_string<StrongString<Tag>> : std::true_type {};
 template <class T>
-struct is_number : std::false_type {};
+struct is_strong_integer : std::false_type {};
 template <class Tag>
-struct is_number<Number<Tag>> : std::true_type {};
+struct is_strong_integer<StrongInteger<Tag>> : std::true_type {};
 template <class T>
 struct is_vector : std::false_type {};
 template <class T>
@@ -46,13 +62,13 @@
 
 // A field that was renamed and the name that the release before 0.2 gave it. Readers take either for one release.
 struct RenamedField {
-  View name, former;
+  StringView name, former;
 };
 inline constexpr RenamedField renamed_fields[] = {
     {"zone", "hall"}, {"deadline", "horizon"}, {"lease", "permit"}, {"load", "usage"}, {"unhealthy", "unsound"}};
 
 // The former name of a field, or an empty view where it was never renamed.
-constexpr View former_name(View name) {
+constexpr StringView former_name(StringView name) {
   for (const auto& renamed : renamed_fields)
     if (renamed.name == name) return renamed.former;
   return {};
--- a/source/coding/json.cpp
+++ b/source/coding/json.cpp
@@ -6,75 +6,75 @@
 
 namespace mothwalk {
 
-Result<json::value> parse_json(View text) {
+Result<json::value> parse_json(StringView text) {
   boost::system::error_code error;
   json::parse_options options;
   options.max_depth = 32;
   json::value value = json::parse(text, error, {}, options);
   if (error)
-    return Fault{FaultKind::invalid, "body", "the text is not JSON: " + error.message(),
+    return Error{ErrorKind::invalid, "body", "the text is not JSON: " + error.message(),
                  "send one well-formed JSON document"};
   return value;
 }
 
-json::value fault_to_json(const Fault& fault) {
+json::value error_to_json(const Error& error) {
   return json::object{
-      {"kind", fault_name(fault.kind)}, {"field", fault.field}, {"message", fault.message}, {"remedy", fault.remedy}};
+      {"kind", error_name(error.kind)}, {"field", error.field}, {"message", error.message}, {"remedy", error.remedy}};
 }
 
-std::string_view fault_name(FaultKind kind) {
+std::string_view error_name(ErrorKind kind) {
   switch (kind) {
-    case FaultKind::invalid:
+    case ErrorKind::invalid:
       return "invalid";
-    case FaultKind::unknown_name:
+    case ErrorKind::unknown_name:
       return "unknown-name";
-    case FaultKind::conflict:
+    case ErrorKind::conflict:
       return "conflict";
-    case FaultKind::stale:
+    case ErrorKind::stale:
       return "stale";
-    case FaultKind::refused:
+    case ErrorKind::refused:
       return "refused";
-    case FaultKind::unknown:
+    case ErrorKind::unknown:
       return "unknown";
-    case FaultKind::too_large:
+    case ErrorKind::too_large:
       return "too-large";
-    case FaultKind::damaged:
+    case ErrorKind::damaged:
       return "damaged";
-    case FaultKind::busy:
+    case ErrorKind::busy:
       return "busy";
-    case FaultKind::lost:
+    case ErrorKind::lost:
       return "lost";
   }
   return "unknown";
 }
 
-int fault_status(FaultKind kind) {
+int error_status(ErrorKind kind) {
   switch (kind) {
-    case FaultKind::invalid:
+    case ErrorKind::invalid:
       return 400;
-    case FaultKind::unknown_name:
+    case ErrorKind::unknown_name:
       return 404;
-    case FaultKind::conflict:
+    case ErrorKind::conflict:
       return 409;
-    case FaultKind::stale:
+    case ErrorKind::stale:
       return 412;
-    case FaultKind::refused:
+    case ErrorKind::refused:
       return 503;
-    case FaultKind::unknown:
+    case ErrorKind::unknown:
       return 504;
-    case FaultKind::too_large:
+    case ErrorKind::too_large:
       return 413;
-    case FaultKind::damaged:
+    case ErrorKind::damaged:
       return 500;
-    case FaultKind::busy:
+    case ErrorKind::busy:
       return 503;
-    case FaultKind::lost:
+    case ErrorKind::lost:
       return 504;
   }
   return 500;
 }
 
-std::uint64_t hash_of(View text, std::uint64_t seed) {
+std::uint64_t hash_of(StringView text, std::uint64_t seed) {
   std::uint64_t hash = 14695981039346656037ULL ^ (seed * 0x9E3779B97F4A7C15ULL);
   for (unsigned char byte : text) hash = (hash ^ byte) * 1099511628211ULL;
   hash ^= hash >> 33;
@@ -83,19 +83,19 @@
   return hash;
 }
 
-bool is_text(View bytes) {
-  return fault_of(parse_json(json::serialize(json::value(json::string(bytes))))) == nullptr;
+bool is_text(StringView bytes) {
+  return error_of(parse_json(json::serialize(json::value(json::string(bytes))))) == nullptr;
 }
 
-std::string base64(View bytes) {
+std::string base64(StringView bytes) {
   using namespace boost::archive::iterators;
-  using Letters = base64_from_binary<transform_width<View::const_iterator, 6, 8>>;
+  using Letters = base64_from_binary<transform_width<StringView::const_iterator, 6, 8>>;
   std::string text(Letters(bytes.begin()), Letters(bytes.end()));
   text.append((3 - bytes.size() % 3) % 3, '=');
   return text;
 }
 
-std::optional<Bytes> base64_bytes(View text) {
+std::optional<Bytes> base64_bytes(StringView text) {
   Bytes out;
   std::uint32_t bits = 0;
   int count = 0;
--- a/source/coding/json.hpp
+++ b/source/coding/json.hpp
@@ -1,5 +1,5 @@
 // Records to JSON and back, over Boost.JSON. Reading is strict: an unknown field, a wrong type or a number out of range
-// gives a fault that names the path to the field and what would mend it.
+// gives an error that names the path to the field and what would mend it.
 #pragma once
 #include <boost/json.hpp>
 #include <limits>
@@ -16,11 +16,11 @@
     return json::value(value);
   else if constexpr (std::is_same_v<T, std::string>)
     return json::value(json::string(value));
-  else if constexpr (std::is_same_v<T, Span>)
+  else if constexpr (std::is_same_v<T, Duration>)
     return json::value(value.count() / 1000);
-  else if constexpr (is_name<T>::value)
+  else if constexpr (is_strong_string<T>::value)
     return json::value(json::string(value.text));
-  else if constexpr (is_number<T>::value)
+  else if constexpr (is_strong_integer<T>::value)
     return json::value(value.value);
   else if constexpr (is_optional<T>::value)
     return value ? to_json(*value) : json::value(nullptr);
@@ -34,7 +34,7 @@
     return object;
   } else {
     json::object object;
-    value.fields([&](View name, const auto& field) { object[name] = to_json(field); });
+    value.fields([&](StringView name, const auto& field) { object[name] = to_json(field); });
     return object;
   }
 }
@@ -42,20 +42,20 @@
 class JsonReader {
  public:
   template <class T>
-  static std::optional<Fault> read(const json::value& given, T& value, const std::string& path) {
+  static std::optional<Error> read(const json::value& given, T& value, const std::string& path) {
     if constexpr (std::is_same_v<T, bool>) {
-      if (!given.is_bool()) return wrong(path, "true or false");
+      if (!given.is_bool()) return invalid_value(path, "true or false");
       value = given.as_bool();
     } else if constexpr (std::is_same_v<T, double>) {
-      if (!given.is_number()) return wrong(path, "a number");
+      if (!given.is_number()) return invalid_value(path, "a number");
       value = given.to_number<double>();
-    } else if constexpr (std::is_same_v<T, Span>) {
+    } else if constexpr (std::is_same_v<T, Duration>) {
       std::int64_t milliseconds = 0;
-      if (auto fault = read(given, milliseconds, path)) return fault;
-      if (milliseconds < 0 || milliseconds > 86'400'000) return wrong(path, "milliseconds from 0 to 86400000");
+      if (auto error = read(given, milliseconds, path)) return error;
+      if (milliseconds < 0 || milliseconds > 86'400'000) return invalid_value(path, "milliseconds from 0 to 86400000");
       value = std::chrono::milliseconds(milliseconds);
     } else if constexpr (std::is_same_v<T, std::string>) {
-      if (!given.is_string()) return wrong(path, "a text");
+      if (!given.is_string()) return invalid_value(path, "a text");
       value = std::string(given.as_string());
     } else if constexpr (std::is_integral_v<T>) {
       std::optional<std::int64_t> whole;
@@ -65,11 +65,11 @@
       const std::int64_t highest =
           sizeof(T) == 8 ? INT64_MAX : static_cast<std::int64_t>(std::numeric_limits<T>::max());
       if (!whole || *whole < lowest || *whole > highest)
-        return wrong(path, "a whole number from " + std::to_string(lowest) + " to " + std::to_string(highest));
+        return invalid_value(path, "a whole number from " + std::to_string(lowest) + " to " + std::to_string(highest));
       value = static_cast<T>(*whole);
-    } else if constexpr (is_name<T>::value) {
+    } else if constexpr (is_strong_string<T>::value) {
       return read(given, value.text, path);
-    } else if constexpr (is_number<T>::value) {
+    } else if constexpr (is_strong_integer<T>::value) {
       return read(given, value.value, path);
     } else if constexpr (is_optional<T>::value) {
       if (given.is_null())
@@ -77,62 +77,62 @@
       else
         return read(given, value.emplace(), path);
     } else if constexpr (is_vector<T>::value) {
-      if (!given.is_array()) return wrong(path, "a list");
+      if (!given.is_array()) return invalid_value(path, "a list");
       value.clear();
       for (const auto& each : given.as_array())
-        if (auto fault = read(each, value.emplace_back(), path + "[" + std::to_string(value.size() - 1) + "]"))
-          return fault;
+        if (auto error = read(each, value.emplace_back(), path + "[" + std::to_string(value.size() - 1) + "]"))
+          return error;
     } else if constexpr (is_map<T>::value) {
-      if (!given.is_object()) return wrong(path, "an object");
+      if (!given.is_object()) return invalid_value(path, "an object");
       value.clear();
       for (const auto& each : given.as_object())
-        if (auto fault = read(each.value(), value[std::string(each.key())], join(path, each.key()))) return fault;
+        if (auto error = read(each.value(), value[std::string(each.key())], join(path, each.key()))) return error;
     } else {
-      if (!given.is_object()) return wrong(path, "an object");
-      std::optional<Fault> fault;
+      if (!given.is_object()) return invalid_value(path, "an object");
+      std::optional<Error> error;
       std::string known;
       std::size_t taken = 0;
-      value.fields([&](View name, auto& field) {
+      value.fields([&](StringView name, auto& field) {
         known += (known.empty() ? "" : ", ") + std::string(name);
         const json::value* found = given.as_object().if_contains(name);
         if (found == nullptr && !former_name(name).empty()) found = given.as_object().if_contains(former_name(name));
-        if (found == nullptr || fault) return;
+        if (found == nullptr || error) return;
         ++taken;
-        fault = read(*found, field, join(path, name));
+        error = read(*found, field, join(path, name));
       });
-      if (fault) return fault;
+      if (error) return error;
       if (taken != given.as_object().size())
         for (const auto& each : given.as_object())
           if ((", " + known + ", ").find(", " + std::string(each.key()) + ", ") == std::string::npos)
-            return Fault{FaultKind::invalid, join(path, each.key()), "this field is not known", "use only: " + known};
+            return Error{ErrorKind::invalid, join(path, each.key()), "this field is not known", "use only: " + known};
     }
     return std::nullopt;
   }
 
  private:
-  static Fault wrong(const std::string& path, const std::string& wanted) {
-    return Fault{FaultKind::invalid, path, "the value is of the wrong kind or out of range", "give " + wanted};
+  static Error invalid_value(const std::string& path, const std::string& expected) {
+    return Error{ErrorKind::invalid, path, "the value is of the wrong kind or out of range", "give " + expected};
   }
-  static std::string join(const std::string& path, View name) {
+  static std::string join(const std::string& path, StringView name) {
     return path.empty() ? std::string(name) : path + "." + std::string(name);
   }
 };
 
-Result<json::value> parse_json(View text);
-json::value fault_to_json(const Fault& fault);
+Result<json::value> parse_json(StringView text);
+json::value error_to_json(const Error& error);
 
 // Whether the bytes can stand in JSON as a text, as they are; and their form where they can't.
-bool is_text(View bytes);
-std::string base64(View bytes);
+bool is_text(StringView bytes);
+std::string base64(StringView bytes);
 // The bytes that a text in base64 stands for; none where it is not such a text.
-std::optional<Bytes> base64_bytes(View text);
+std::optional<Bytes> base64_bytes(StringView text);
 
 template <class T>
-Result<T> from_json(View text) {
+Result<T> from_json(StringView text) {
   auto parsed = parse_json(text);
-  if (auto fault = fault_of(parsed)) return *fault;
+  if (auto error = error_of(parsed)) return *error;
   T value;
-  if (auto fault = JsonReader::read(std::get<json::value>(parsed), value, "")) return *fault;
+  if (auto error = JsonReader::read(std::get<json::value>(parsed), value, "")) return *error;
   return value;
 }
 
--- a/source/configuration/resources.cpp
+++ b/source/configuration/resources.cpp
@@ -9,19 +9,19 @@
 namespace mothwalk {
 namespace {
 
-Fault wrong(std::string field, std::string message, std::string remedy) {
-  return Fault{FaultKind::invalid, std::move(field), std::move(message), std::move(remedy)};
+Error wrong(std::string field, std::string message, std::string remedy) {
+  return Error{ErrorKind::invalid, std::move(field), std::move(message), std::move(remedy)};
 }
 
-using Checked = std::optional<Fault>;
+using Checked = std::optional<Error>;
 
-Checked positive(View field, Span span) {
+Checked positive(StringView field, Duration span) {
   if (span < std::chrono::milliseconds(1))
     return wrong(std::string(field), "the time is zero", "give 1 millisecond or more");
   return std::nullopt;
 }
 
-Checked check(const Lane& lane, View name, const ConfigurationView& view) {
+Checked check(const Lane& lane, StringView name, const ConfigurationView& view) {
   if (lane.path.size() < 2 || lane.path[0] != '/' || lane.path.size() > 200)
     return wrong("path", "a lane's path begins with / and has 2 to 200 characters", "give a path such as /audits");
   if (lane.path.starts_with("/lots")) return wrong("path", "/lots is taken by the kept lots", "give another path");
@@ -45,20 +45,20 @@
       return wrong("path", "lane '" + other + "' has this path already", "give each lane a path of its own");
   if (lane.retries > 10) return wrong("retries", "more than 10 retries", "give 0 to 10");
   if (lane.waiting_room > 100000) return wrong("waiting_room", "more than 100000 requests", "give 0 to 100000");
-  for (auto [field, span] : {std::pair<View, Span>{"waiting", lane.waiting},
+  for (auto [field, span] : {std::pair<StringView, Duration>{"waiting", lane.waiting},
                              {"connecting", lane.connecting},
                              {"first_piece", lane.first_piece},
                              {"between_pieces", lane.between_pieces},
                              {"taking", lane.taking},
                              {"whole", lane.whole}})
-    if (auto fault = positive(field, span)) return fault;
+    if (auto error = positive(field, span)) return error;
   if (lane.whole < lane.first_piece)
     return wrong("whole", "the whole budget is shorter than that of the first piece",
                  "give whole at least first_piece");
   return std::nullopt;
 }
 
-Checked check(const Kind& kind, View, const ConfigurationView&) {
+Checked check(const Kind& kind, StringView, const ConfigurationView&) {
   const CircleSettings& circle = kind.circle;
   if (!(circle.target > 0 && circle.target <= 1))
     return wrong("circle.target", "the target is outside (0, 1]", "give a medium load such as 0.6");
@@ -89,11 +89,11 @@
   return std::nullopt;
 }
 
-Checked check(const Runner& runner, View name, const ConfigurationView& view) {
+Checked check(const Runner& runner, StringView name, const ConfigurationView& view) {
   if (!view.kinds.contains(runner.kind.text))
     return wrong("kind", "no kind of runner has the name '" + runner.kind.text + "'",
                  "apply that kind first, or name an existing one");
-  if (auto fault = check_address(runner.address, "address")) return fault;
+  if (auto error = check_address(runner.address, "address")) return error;
   if (runner.zone.empty()) return wrong("zone", "the zone is empty", "name the zone that the runner stands in");
   if (runner.slots < 1 || runner.slots > 4096) return wrong("slots", "the slots are out of range", "give 1 to 4096");
   if (auto before = view.runners.find(std::string(name));
@@ -103,7 +103,7 @@
   return std::nullopt;
 }
 
-Checked check(const Zone& zone, View name, const ConfigurationView& view) {
+Checked check(const Zone& zone, StringView name, const ConfigurationView& view) {
   if (!zone.evacuated) return std::nullopt;
   std::set<std::string> others;
   for (const auto& [id, runner] : view.runners)
@@ -112,19 +112,19 @@
   bool any_here = false;
   for (const auto& [id, runner] : view.runners) any_here = any_here || runner.spec.zone.text == name;
   if (any_here && others.empty())
-    return Fault{FaultKind::conflict, "evacuated", "no runner would be left outside evacuated zones",
+    return Error{ErrorKind::conflict, "evacuated", "no runner would be left outside evacuated zones",
                  "bring another zone back first"};
   return std::nullopt;
 }
 
-Checked check(const LotSettings& lots, View name, const ConfigurationView&) {
+Checked check(const LotSettings& lots, StringView name, const ConfigurationView&) {
   if (name != "default") return wrong("name", "the lot settings have one document, 'default'", "apply lots/default");
   if (lots.items < 1 || lots.items > 100000) return wrong("items", "the items are out of range", "give 1 to 100000");
   if (lots.lots < 1 || lots.lots > 1000000) return wrong("lots", "the lots are out of range", "give 1 to 1000000");
   return std::nullopt;
 }
 
-Checked check(const HolderMark& mark, View name, const ConfigurationView& view) {
+Checked check(const StorageNodeMark& mark, StringView name, const ConfigurationView& view) {
   if (!mark.retired) return std::nullopt;
   bool seated = false;
   std::size_t others = 0;
@@ -140,26 +140,26 @@
     }
   }
   if (seated && others < 3)
-    return Fault{FaultKind::conflict, "retired",
+    return Error{ErrorKind::conflict, "retired",
                  "only " + std::to_string(others) + " seats would remain, too few to lose one more",
                  "start another holder and wait until it is seated"};
   return std::nullopt;
 }
 
-Checked check(const Aim& aim, View, const ConfigurationView& view) {
+Checked check(const Aim& aim, StringView, const ConfigurationView& view) {
   if (!view.lanes.contains(aim.lane))
     return wrong("lane", "there is no lane '" + aim.lane + "'", "apply that lane first, or name an existing one");
-  for (auto [field, share] : {std::pair<View, double>{"answered", aim.answered}, {"in_time", aim.in_time}})
+  for (auto [field, share] : {std::pair<StringView, double>{"answered", aim.answered}, {"in_time", aim.in_time}})
     if (!(share > 0 && share <= 1))
       return wrong(std::string(field), "the share is outside (0, 1]", "give a share such as 0.99");
   return positive("first_piece", aim.first_piece);
 }
 
 template <class T>
-Result<Bytes> check_as(View name, View text, const ConfigurationView& view) {
+Result<Bytes> check_as(StringView name, StringView text, const ConfigurationView& view) {
   auto read = from_json<T>(text);
-  if (auto fault = fault_of(read)) return *fault;
-  if (auto fault = check(std::get<T>(read), name, view)) return *fault;
+  if (auto error = error_of(read)) return *error;
+  if (auto error = check(std::get<T>(read), name, view)) return *error;
   return json::serialize(to_json(std::get<T>(read)));
 }
 
@@ -167,14 +167,14 @@
 bool put_as(Table<T>& table, const std::string& name, const Bytes* value, Stamp stamp) {
   if (value == nullptr) return table.erase(name), true;
   auto read = from_json<T>(*value);
-  if (fault_of(read)) return false;
+  if (error_of(read)) return false;
   table[name] = Named<T>{stamp, std::move(std::get<T>(read))};
   return true;
 }
 
 }  // namespace
 
-bool Roster::seated(const HolderId& holder) const {
+bool Roster::seated(const StorageNodeId& holder) const {
   for (const auto& seat : seats)
     if (seat.holder == holder) return true;
   return false;
@@ -195,7 +195,7 @@
   return found != zones.end() && found->second.spec.evacuated;
 }
 
-const Lane* ConfigurationView::lane_for(View path, std::string* name, View host) const {
+const Lane* ConfigurationView::lane_for(StringView path, std::string* name, StringView host) const {
   const Lane* best = nullptr;
   for (const auto& [lane_name, entry] : lanes) {
     const std::string& prefix = entry.spec.path;
@@ -215,18 +215,19 @@
   return found == lots.end() ? LotSettings{} : found->second.spec;
 }
 
-std::string current_type(View type) {
-  return std::string(type == "hall" ? View("zone") : type);
+std::string current_type(StringView type) {
+  return std::string(type == "hall" ? StringView("zone") : type);
 }
 
-bool is_resource_type(View type) {
+bool is_resource_type(StringView type) {
   return type == "lane" || type == "kind" || type == "runner" || type == "zone" || type == "lots" || type == "holder" ||
          type == "aim";
 }
 
-bool is_resource_name(View name) {
+bool is_resource_name(StringView name) {
   return !name.empty() && name.size() <= 100 &&
-         name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:") == View::npos;
+         name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:") ==
+             StringView::npos;
 }
 
 std::string resource_types() {
@@ -249,7 +250,7 @@
   ConfigurationContent content;
   if (read->revision > 0) {
     auto given = format->read(read->document);
-    if (fault_of(given)) return false;
+    if (error_of(given)) return false;
     content = std::move(std::get<ConfigurationContent>(given));
   }
   replace_part(view.lanes, view.configured_lanes, std::move(content.lanes), stamp);
@@ -260,12 +261,12 @@
 }
 }  // namespace
 
-bool put_in_view(ConfigurationView& view, View key, const Bytes* value, Stamp stamp,
+bool put_in_view(ConfigurationView& view, StringView key, const Bytes* value, Stamp stamp,
                  const ConfigurationFormat* format) {
   if (key == "roster" || key == lot_roster_key) {
     if (value == nullptr) return false;
     auto read = from_json<Roster>(*value);
-    if (fault_of(read)) return false;
+    if (error_of(read)) return false;
     (key == "roster" ? view.roster : view.lot_roster) = std::move(std::get<Roster>(read));
     return true;
   }
@@ -278,7 +279,7 @@
     return true;
   }
   const auto slash = key.find('/');
-  if (slash == View::npos) return false;
+  if (slash == StringView::npos) return false;
   const std::string type = current_type(key.substr(0, slash));
   const std::string name(key.substr(slash + 1));
   if (type == "lane") return put_as(view.lanes, name, value, stamp);
@@ -292,9 +293,9 @@
   return false;
 }
 
-Result<Bytes> check_document(View type, View name, View text, const ConfigurationView& view) {
+Result<Bytes> check_document(StringView type, StringView name, StringView text, const ConfigurationView& view) {
   if (!is_resource_type(type))
-    return Fault{FaultKind::unknown_name, "type", "no resource has the type '" + std::string(type) + "'",
+    return Error{ErrorKind::unknown_name, "type", "no resource has the type '" + std::string(type) + "'",
                  "use one of: " + resource_types()};
   if (!is_resource_name(name))
     return wrong("name", "the name has characters that are not allowed, or a length outside 1 to 100",
@@ -305,29 +306,29 @@
   if (type == "zone") return check_as<Zone>(name, text, view);
   if (type == "lots") return check_as<LotSettings>(name, text, view);
   if (type == "aim") return check_as<Aim>(name, text, view);
-  return check_as<HolderMark>(name, text, view);
+  return check_as<StorageNodeMark>(name, text, view);
 }
 
-Result<Done> check_removal(View type, View name, const ConfigurationView& view) {
+Result<Success> check_removal(StringView type, StringView name, const ConfigurationView& view) {
   if (!is_resource_type(type))
-    return Fault{FaultKind::unknown_name, "type", "no resource has the type '" + std::string(type) + "'",
+    return Error{ErrorKind::unknown_name, "type", "no resource has the type '" + std::string(type) + "'",
                  "use one of: " + resource_types()};
   if (type == "kind") {
     for (const auto& [lane, entry] : view.lanes)
       if (entry.spec.kind.text == name)
-        return Fault{FaultKind::conflict, "name", "lane '" + lane + "' leads to this kind",
+        return Error{ErrorKind::conflict, "name", "lane '" + lane + "' leads to this kind",
                      "delete or change that lane first"};
     for (const auto& [runner, entry] : view.runners)
       if (entry.spec.kind.text == name)
-        return Fault{FaultKind::conflict, "name", "runner '" + runner + "' is of this kind",
+        return Error{ErrorKind::conflict, "name", "runner '" + runner + "' is of this kind",
                      "delete that runner first"};
   }
   if (type == "lane")
     for (const auto& [aim, entry] : view.aims)
       if (entry.spec.lane == name)
-        return Fault{FaultKind::conflict, "name", "aim '" + aim + "' is about this lane",
+        return Error{ErrorKind::conflict, "name", "aim '" + aim + "' is about this lane",
                      "delete or change that aim first"};
-  return Done{};
+  return Success{};
 }
 
 }  // namespace mothwalk
--- a/source/configuration/resources.hpp
+++ b/source/configuration/resources.hpp
@@ -12,10 +12,10 @@
   std::uint32_t concurrency =
       0;  // live prompts that count as full load of a runner, where fewer than its slots; 0: its slots
   double high_water = 0.9;  // an early cycle above this load (ours)
-  Span cycle = std::chrono::seconds(60);
+  Duration cycle = std::chrono::seconds(60);
   std::uint32_t floor = 2;
   std::uint32_t reserve = 1;  // runners kept outside while lots are pending (ours)
-  Span ramp = std::chrono::seconds(10);
+  Duration ramp = std::chrono::seconds(10);
   MOTHWALK_FIELDS(all, target, concurrency, high_water, cycle, floor, reserve, ramp)
 };
 
@@ -32,7 +32,7 @@
   double overcommit = 1.5;        // prompts per slot that a runner may be given before callers wait
   std::uint32_t connections = 0;  // that one runner takes from all callers together; 0: no bound
   std::string health_path;        // of the runners' own health answers; empty: none is asked
-  Span warming{};                 // how long a runner is cold after a start
+  Duration warming{};             // how long a runner is cold after a start
   double cold_rate = 0;           // requests a second that a cold runner bears from all senders together; 0: no bound
   Engine engine;
   MOTHWALK_FIELDS(circle, refusals, overcommit, connections, health_path, warming, cold_rate, engine)
@@ -45,7 +45,7 @@
   std::uint32_t slots = 4;
   bool leaving = false;
   std::uint64_t generation = 0;  // raised by the platform with each new start of the runner's process
-  Span cold{};                   // how much longer it is cold, as its source said last
+  Duration cold{};               // how much longer it is cold, as its source said last
   MOTHWALK_FIELDS(kind, address, zone, slots, leaving, generation, cold)
 };
 
@@ -74,20 +74,20 @@
   std::uint32_t attempts = 0;     // the most runners that one request may be sent to; 0: retries + 1
   std::uint32_t rank = 0;         // 0 is served first
   bool affinity = false;          // the parts of the prompt choose the runner that keeps them
-  Span aim{};                     // time to the first piece (or whole answer) that earns full worth; 0: none
-  Span gap{};                     // the longest pause between events that is in time; 0: none
-  Span completion{};              // of a lot, from its submission, by which all results are due
-  Span retention{};               // of a lot, from its submission, after which items may be given up
+  Duration aim{};                 // time to the first piece (or whole answer) that earns full worth; 0: none
+  Duration gap{};                 // the longest pause between events that is in time; 0: none
+  Duration completion{};          // of a lot, from its submission, by which all results are due
+  Duration retention{};           // of a lot, from its submission, after which items may be given up
   bool repeatable = false;
   std::uint32_t retries = 2;
   std::uint32_t affinity_bytes = 0;  // so many bytes of the body's beginning choose the runner that has them cached
   std::uint32_t waiting_room = 256;  // requests of this lane that may wait in one daemon
-  Span waiting = std::chrono::milliseconds(2000);
-  Span connecting = std::chrono::milliseconds(500);
-  Span first_piece = std::chrono::milliseconds(10000);
-  Span between_pieces = std::chrono::milliseconds(5000);
-  Span taking = std::chrono::milliseconds(10000);  // in which a caller with a full backlog takes something
-  Span whole = std::chrono::milliseconds(60000);
+  Duration waiting = std::chrono::milliseconds(2000);
+  Duration connecting = std::chrono::milliseconds(500);
+  Duration first_piece = std::chrono::milliseconds(10000);
+  Duration between_pieces = std::chrono::milliseconds(5000);
+  Duration taking = std::chrono::milliseconds(10000);  // in which a caller with a full backlog takes something
+  Duration whole = std::chrono::milliseconds(60000);
   MOTHWALK_FIELDS(path, kind, shares, host, streaming, resumable, batch, attempts, rank, affinity, aim, gap, completion,
                   retention, repeatable, retries, affinity_bytes, waiting_room, waiting, connecting, first_piece,
                   between_pieces, taking, whole)
@@ -100,13 +100,13 @@
 };
 
 struct LotSettings {
-  std::uint32_t items = 1000;                 // items in one lot
-  std::uint32_t lots = 4096;                  // lots kept at once by one holder's slots
-  Span retention = std::chrono::minutes(10);  // a finished lot stays readable so long
+  std::uint32_t items = 1000;                     // items in one lot
+  std::uint32_t lots = 4096;                      // lots kept at once by one holder's slots
+  Duration retention = std::chrono::minutes(10);  // a finished lot stays readable so long
   MOTHWALK_FIELDS(items, lots, retention)
 };
 
-struct HolderMark {
+struct StorageNodeMark {
   bool retired = false;
   MOTHWALK_FIELDS(retired)
 };
@@ -123,7 +123,7 @@
 struct Aim {
   std::string lane;
   double answered = 0.99;
-  Span first_piece = std::chrono::milliseconds(2000);
+  Duration first_piece = std::chrono::milliseconds(2000);
   double in_time = 0.95;
   MOTHWALK_FIELDS(lane, answered, first_piece, in_time)
 };
@@ -150,28 +150,28 @@
   bool bears(const std::string& runner, std::uint64_t generation) const;
 };
 
-struct Seat {
-  HolderId holder;
+struct Voter {
+  StorageNodeId holder;
   Address address;
   ZoneId zone;
   std::string name = {};  // of the machine, where operators name one
   bool joining = false;   // it votes, but may lack records still: it owns slots only where no other seat can
-  auto operator<=>(const Seat&) const = default;
+  auto operator<=>(const Voter&) const = default;
   MOTHWALK_FIELDS(holder, address, zone, name, joining)
 };
 
 struct Roster {
   Version version;
-  std::vector<Seat> seats;
+  std::vector<Voter> seats;
   MOTHWALK_FIELDS(version, seats)
   std::size_t majority() const { return seats.size() / 2 + 1; }
-  bool seated(const HolderId& holder) const;
+  bool seated(const StorageNodeId& holder) const;
 };
 
 // What callers may send and how long they may idle.
 struct CallerLimits {
   std::uint64_t header_bytes = 16384, body_bytes = 16u << 20;
-  Span header_time = std::chrono::seconds(60), idle_time = std::chrono::seconds(60);
+  Duration header_time = std::chrono::seconds(60), idle_time = std::chrono::seconds(60);
   MOTHWALK_FIELDS(header_bytes, body_bytes, header_time, idle_time)
 };
 
@@ -190,7 +190,7 @@
 class ConfigurationFormat {
  public:
   virtual ~ConfigurationFormat() = default;
-  virtual Result<ConfigurationContent> read(View document) const = 0;
+  virtual Result<ConfigurationContent> read(StringView document) const = 0;
 };
 
 // Runners as a list outside the product tells them, by name; they stand beside the declared ones.
@@ -214,7 +214,7 @@
   Table<Runner> runners;
   Table<Zone> zones;
   Table<LotSettings> lots;
-  Table<HolderMark> holders;
+  Table<StorageNodeMark> holders;
   Table<Aim> aims;
   Table<Circle> circles;
   Roster roster;      // of the holders of control state, and of lots where no others hold these
@@ -224,35 +224,35 @@
   Stamp listing;  // of the list of runners in force
   std::uint64_t digest = 0;
   // The roster whose holders keep a key.
-  const Roster& roster_of(View key) const {
+  const Roster& roster_of(StringView key) const {
     return key.starts_with("lot/") && !lot_roster.seats.empty() ? lot_roster : roster;
   }
   bool evacuated(const ZoneId& zone) const;
   // The lane of the longest path that the given one begins with, of those for the host before those for any.
-  const Lane* lane_for(View path, std::string* name, View host = {}) const;
+  const Lane* lane_for(StringView path, std::string* name, StringView host = {}) const;
   std::set<std::string> listed;                              // the runners of the listing
   std::set<std::string> configured_lanes, configured_kinds;  // of the configuration
   LotSettings lot_settings() const;
 };
 
 // Puts a value under its key ("lane/audits") into the view, or takes it out; false where the value cannot be read.
-bool put_in_view(ConfigurationView& view, View key, const Bytes* value, Stamp stamp,
+bool put_in_view(ConfigurationView& view, StringView key, const Bytes* value, Stamp stamp,
                  const ConfigurationFormat* format = nullptr);
 
 // Keys of what is kept or told once for the fleet.
-inline constexpr View configuration_key = "configuration/fleet";
-inline constexpr View listing_key = "listing/runners";
-inline constexpr View lot_roster_key = "roster/lots";
+inline constexpr StringView configuration_key = "configuration/fleet";
+inline constexpr StringView listing_key = "listing/runners";
+inline constexpr StringView lot_roster_key = "roster/lots";
 
 // Checks an operator's document for a key against the view; gives the canonical text to keep.
-Result<Bytes> check_document(View type, View name, View text, const ConfigurationView& view);
+Result<Bytes> check_document(StringView type, StringView name, StringView text, const ConfigurationView& view);
 // Checks that a resource may be deleted.
-Result<Done> check_removal(View type, View name, const ConfigurationView& view);
+Result<Success> check_removal(StringView type, StringView name, const ConfigurationView& view);
 // The name of a type of resources today; a name of the release before 0.2 is understood for one release.
-std::string current_type(View type);
-bool is_resource_type(View type);
+std::string current_type(StringView type);
+bool is_resource_type(StringView type);
 // 1 to 100 letters, digits, - _ . or :
-bool is_resource_name(View name);
+bool is_resource_name(StringView name);
 std::string resource_types();
 
 }  // namespace mothwalk
--- a/source/control/configuration_orders.cpp
+++ b/source/control/configuration_orders.cpp
@@ -7,21 +7,21 @@
 namespace mothwalk {
 
 namespace {
-Fault not_above(std::uint64_t number, std::uint64_t base) {
-  return Fault{
-      FaultKind::invalid, "revision",
+Error not_above(std::uint64_t number, std::uint64_t base) {
+  return Error{
+      ErrorKind::invalid, "revision",
       "revision " + std::to_string(number) + " is not above the one that it builds on, " + std::to_string(base),
       "give a higher one"};
 }
 
-Fault another_is_current(std::uint64_t current, std::uint64_t base) {
-  return Fault{FaultKind::conflict, "base",
+Error another_is_current(std::uint64_t current, std::uint64_t base) {
+  return Error{ErrorKind::conflict, "base",
                "revision " + std::to_string(current) + " is current, not " + std::to_string(base),
                "read the configuration again and build on that"};
 }
 
-Fault not_remembered() {
-  return Fault{FaultKind::unknown, "base", "the change is older than those that are remembered; it may have been taken",
+Error not_remembered() {
+  return Error{ErrorKind::unknown, "base", "the change is older than those that are remembered; it may have been taken",
                "read the configuration again and build on that"};
 }
 }  // namespace
@@ -30,15 +30,15 @@
   if (!reply.found || reply.record.removed) return FleetConfiguration{};
   auto read = from_cbor<FleetConfiguration>(reply.record.head);
   if (!read)
-    return Fault{FaultKind::damaged, "configuration", "the kept configuration can't be read",
+    return Error{ErrorKind::damaged, "configuration", "the kept configuration can't be read",
                  "run the version of mothwalk that wrote it"};
   return std::move(*read);
 }
 
-void ConfigurationOrders::take(ConfigurationChange change, Span limit, Answer<Version> answer) {
+void ConfigurationOrders::take(ConfigurationChange change, Duration limit, ReplyCallback<Version> answer) {
   const OrderIdentity& identity = change.identity;
   if (identity.number <= identity.base) return answer(not_above(identity.number, identity.base));
-  const Moment until = messenger_.timers().now() + limit;
+  const TimePoint until = messenger_.timers().now() + limit;
   read(std::make_shared<Order>(Order{std::move(change), until, std::move(answer)}), true);
 }
 
@@ -46,16 +46,16 @@
   client_.read(
       std::string(configuration_key), order->until - messenger_.timers().now(),
       [this, order, head_only](Result<ReadReply> result) {
-        auto fault = fault_of(result);
-        if (fault == nullptr) return decide(order, std::get<ReadReply>(result), head_only);
-        order->answer(order->sent ? Fault{FaultKind::unknown, fault->field, fault->message, fault->remedy} : *fault);
+        auto error = error_of(result);
+        if (error == nullptr) return decide(order, std::get<ReadReply>(result), head_only);
+        order->answer(order->sent ? Error{ErrorKind::unknown, error->field, error->message, error->remedy} : *error);
       },
       head_only);
 }
 
 void ConfigurationOrders::decide(const OrderPointer& order, const ReadReply& reply, bool head_only) {
   auto kept = configuration_of(reply);
-  if (auto fault = fault_of(kept)) return order->answer(*fault);
+  if (auto error = error_of(kept)) return order->answer(*error);
   const FleetConfiguration& current = std::get<FleetConfiguration>(kept);
   const OrderIdentity& identity = order->change.identity;
   const bool on_its_base = current.revision == identity.base;
@@ -82,7 +82,7 @@
 
 void ConfigurationOrders::build(const OrderPointer& order, const ReadReply& reply, const FleetConfiguration& current) {
   auto made = order->change.make(current);
-  if (auto fault = fault_of(made)) return order->answer(*fault);
+  if (auto error = error_of(made)) return order->answer(*error);
   const OrderIdentity& identity = order->change.identity;
   const bool exists = reply.found && !reply.record.removed;
   Write change;
@@ -98,12 +98,12 @@
 
 void ConfigurationOrders::write(const OrderPointer& order, Write change) {
   client_.write(std::move(change), order->until - messenger_.timers().now(), [this, order](Result<WriteReply> written) {
-    auto fault = fault_of(written);
-    if (fault == nullptr) return order->answer(Version{order->change.identity.number});
+    auto error = error_of(written);
+    if (error == nullptr) return order->answer(Version{order->change.identity.number});
     const bool time_left = messenger_.timers().now() < order->until;
     // Another change, or an earlier sending of this one, came between: the newest record tells which.
-    const bool settled_by_reading = fault->kind == FaultKind::stale || (fault->kind == FaultKind::unknown && time_left);
-    if (!settled_by_reading) return order->answer(*fault);
+    const bool settled_by_reading = error->kind == ErrorKind::stale || (error->kind == ErrorKind::unknown && time_left);
+    if (!settled_by_reading) return order->answer(*error);
     order->sent = true;
     read(order, true);
   });
--- a/source/control/configuration_orders.hpp
+++ b/source/control/configuration_orders.hpp
@@ -23,13 +23,13 @@
   // Answers with the revision that the order made, now or at an earlier sending. Faults: invalid (by its text, or on
   // the configuration that it builds on), conflict (another revision is current, and this order never was nor will be
   // taken), unknown (send it again), refused (nothing was done).
-  void take(ConfigurationChange change, Span limit, Answer<Version> answer);
+  void take(ConfigurationChange change, Duration limit, ReplyCallback<Version> answer);
 
  private:
   struct Order {
     ConfigurationChange change;
-    Moment until;
-    Answer<Version> answer;
+    TimePoint until;
+    ReplyCallback<Version> answer;
     bool sent = false;  // a write of it may have reached the owner
   };
   using OrderPointer = std::shared_ptr<Order>;
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -3,25 +3,25 @@
 
 #include <algorithm>
 
-#include "news/news.hpp"
+#include "gossip/configuration_gossip.hpp"
 
 namespace mothwalk {
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span write_timeout = milliseconds(5000);
+constexpr Duration write_timeout = milliseconds(5000);
 
-ControlReply faulty(const Fault& fault) {
-  const bool again = fault.kind == FaultKind::refused || fault.kind == FaultKind::unknown ||
-                     fault.kind == FaultKind::busy || fault.kind == FaultKind::lost;
-  json::value body = fault_to_json(fault);
+ControlReply faulty(const Error& error) {
+  const bool again = error.kind == ErrorKind::refused || error.kind == ErrorKind::unknown ||
+                     error.kind == ErrorKind::busy || error.kind == ErrorKind::lost;
+  json::value body = error_to_json(error);
   body.as_object()["outcome"] =
-      fault.kind == FaultKind::unknown || fault.kind == FaultKind::lost ? "unknown" : "refused";
-  return ControlReply{fault_status(fault.kind), std::move(body), again};
+      error.kind == ErrorKind::unknown || error.kind == ErrorKind::lost ? "unknown" : "refused";
+  return ControlReply{error_status(error.kind), std::move(body), again};
 }
 
-Fault no_such_call(const ControlRequest& request) {
-  return Fault{FaultKind::unknown_name, "path", "there is no call " + request.method + " " + request.target,
+Error no_such_call(const ControlRequest& request) {
+  return Error{ErrorKind::unknown_name, "path", "there is no call " + request.method + " " + request.target,
                "see the operators' page for the calls"};
 }
 
@@ -39,7 +39,7 @@
 
 // Calls with the table of a type.
 template <class Use>
-bool with_table(const ConfigurationView& view, View type, Use use) {
+bool with_table(const ConfigurationView& view, StringView type, Use use) {
   if (type == "lane") return use(view.lanes), true;
   if (type == "kind") return use(view.kinds), true;
   if (type == "runner") return use(view.runners), true;
@@ -52,7 +52,7 @@
 }
 
 template <class T>
-json::object resource_json(View type, const std::string& name, const Named<T>& entry) {
+json::object resource_json(StringView type, const std::string& name, const Named<T>& entry) {
   return json::object{{"type", type},
                       {"name", name},
                       {"version", entry.stamp.version.value},
@@ -60,37 +60,37 @@
                       {"spec", to_json(entry.spec)}};
 }
 
-Fault no_type(const std::string& type) {
-  return Fault{FaultKind::unknown_name, "type", "no resource has the type '" + type + "'",
+Error no_type(const std::string& type) {
+  return Error{ErrorKind::unknown_name, "type", "no resource has the type '" + type + "'",
                "use one of: " + resource_types() + ", circle"};
 }
 }  // namespace
 
-Result<LotHead> read_lot(View body) {
+Result<LotSpecification> read_lot(StringView body) {
   auto parsed = parse_json(body);
-  if (auto fault = fault_of(parsed)) return *fault;
+  if (auto error = error_of(parsed)) return *error;
   const json::value& value = std::get<json::value>(parsed);
   if (!value.is_object())
-    return Fault{FaultKind::invalid, "body", "the lot is not an object", "give {\"lane\", \"deadline\", \"items\"}"};
-  LotHead head;
+    return Error{ErrorKind::invalid, "body", "the lot is not an object", "give {\"lane\", \"deadline\", \"items\"}"};
+  LotSpecification head;
   const json::value* items = nullptr;
   for (const auto& each : value.as_object()) {
-    std::optional<Fault> fault;
+    std::optional<Error> error;
     if (each.key() == "lane")
-      fault = JsonReader::read(each.value(), head.lane, "lane");
+      error = JsonReader::read(each.value(), head.lane, "lane");
     else if (each.key() == "deadline" || each.key() == former_name("deadline"))
-      fault = JsonReader::read(each.value(), head.deadline, "deadline");
+      error = JsonReader::read(each.value(), head.deadline, "deadline");
     else if (each.key() == "items")
       items = &each.value();
     else
-      fault = Fault{FaultKind::invalid, std::string(each.key()), "this field is not known",
+      error = Error{ErrorKind::invalid, std::string(each.key()), "this field is not known",
                     "use only: lane, deadline, items"};
-    if (fault) return *fault;
+    if (error) return *error;
   }
   if (head.lane.empty())
-    return Fault{FaultKind::invalid, "lane", "the lot names no lane", "give the lane that its items go by"};
+    return Error{ErrorKind::invalid, "lane", "the lot names no lane", "give the lane that its items go by"};
   if (items == nullptr || !items->is_array())
-    return Fault{FaultKind::invalid, "items", "the items are not a list", "give a list of JSON values"};
+    return Error{ErrorKind::invalid, "items", "the items are not a list", "give a list of JSON values"};
   for (const auto& item : items->as_array())
     head.items.push_back(
         LotItem{"", "", {}, item.is_string() ? std::string(item.as_string()) : json::serialize(item), 0});
@@ -107,29 +107,30 @@
       client_(messenger, shared_state),
       lots_(messenger, shared_state) {}
 
-std::optional<Control::Target> Control::split(View target) {
+std::optional<Control::Target> Control::split(StringView target) {
   Target split;
   const auto mark = target.find('?');
-  View path = target.substr(0, mark);
+  StringView path = target.substr(0, mark);
   if (path.empty() || path[0] != '/') return std::nullopt;
   path.remove_prefix(1);
   while (!path.empty()) {
     const auto slash = path.find('/');
     split.parts.emplace_back(path.substr(0, slash));
-    if (slash == View::npos) break;
+    if (slash == StringView::npos) break;
     path.remove_prefix(slash + 1);
   }
   // Names of the release before 0.2 are understood for one release.
   if (split.parts.size() > 1 && split.parts[1] == "soundness") split.parts[1] = "health";
   if (split.parts.size() > 1 && split.parts[1] == "usage") split.parts[1] = "load";
   if (split.parts.size() > 2) split.parts[2] = current_type(split.parts[2]);
-  View query = mark == View::npos ? View{} : target.substr(mark + 1);
+  StringView query = mark == StringView::npos ? StringView{} : target.substr(mark + 1);
   while (!query.empty()) {
     const auto end = query.find('&');
-    const View pair = query.substr(0, end);
+    const StringView pair = query.substr(0, end);
     const auto equals = pair.find('=');
-    split.query[std::string(pair.substr(0, equals))] = equals == View::npos ? "" : std::string(pair.substr(equals + 1));
-    if (end == View::npos) break;
+    split.query[std::string(pair.substr(0, equals))] =
+        equals == StringView::npos ? "" : std::string(pair.substr(equals + 1));
+    if (end == StringView::npos) break;
     query.remove_prefix(end + 1);
   }
   return split;
@@ -167,7 +168,7 @@
   const std::string& name = target.parts[3];
   if (request.method == "GET") return show(type, name, std::move(answer));
   if (type == "circle")
-    return answer(faulty(Fault{FaultKind::conflict, "type", "circles are decided by the system",
+    return answer(faulty(Error{ErrorKind::conflict, "type", "circles are decided by the system",
                                "change the kind's circle settings instead"}));
   if (request.method == "PUT") return put(type, name, request, target, std::move(answer), true);
   if (request.method == "DELETE") return remove(type, name, target, std::move(answer));
@@ -187,8 +188,8 @@
                   ControlAnswer answer, bool second_look) {
   const auto configuration = shared_state_.configuration.get();
   auto checked = check_document(type, name, request.body, *configuration);
-  if (auto fault = fault_of(checked)) {
-    if (!second_look) return answer(faulty(*fault));
+  if (auto error = error_of(checked)) {
+    if (!second_look) return answer(faulty(*error));
     // What the document leans on may be on its way to this daemon: one more look after a round of news.
     messenger_.timers().after(milliseconds(400), [this, type, name, request, target, answer] {
       put(type, name, request, target, answer, false);
@@ -199,7 +200,7 @@
   if (auto given = target.query.find("version"); given != target.query.end()) {
     auto number = whole_number(given->second);
     if (!number)
-      return answer(faulty(Fault{FaultKind::invalid, "version", "the version is not a whole number",
+      return answer(faulty(Error{ErrorKind::invalid, "version", "the version is not a whole number",
                                  "give the version that you read, or 0 to create"}));
     expected = *number;
   }
@@ -213,17 +214,17 @@
 void Control::remove(const std::string& type, const std::string& name, const Target& target, ControlAnswer answer) {
   const auto configuration = shared_state_.configuration.get();
   auto checked = check_removal(type, name, *configuration);
-  if (auto fault = fault_of(checked)) return answer(faulty(*fault));
+  if (auto error = error_of(checked)) return answer(faulty(*error));
   Write change;
   change.key = type + "/" + name;
   change.removed = true;
   auto given = target.query.find("version");
   if (given == target.query.end() || !whole_number(given->second))
-    return answer(faulty(Fault{FaultKind::invalid, "version", "a removal names the version that it removes",
+    return answer(faulty(Error{ErrorKind::invalid, "version", "a removal names the version that it removes",
                                "add ?version=N with the version that you read"}));
   change.expected = *whole_number(given->second);
   if (*change.expected == 0)
-    return answer(faulty(Fault{FaultKind::unknown_name, "name", "there is nothing of this name", "check the name"}));
+    return answer(faulty(Error{ErrorKind::unknown_name, "name", "there is nothing of this name", "check the name"}));
   write(std::move(change), std::move(answer));
 }
 
@@ -231,13 +232,13 @@
   change.token = self_.address.text + "/" + std::to_string(self_.incarnation) + "/" + std::to_string(random_.next());
   const std::string key = change.key;
   client_.write(std::move(change), write_timeout, [this, key, answer](Result<WriteReply> result) {
-    if (auto fault = fault_of(result)) return answer(faulty(*fault));
+    if (auto error = error_of(result)) return answer(faulty(*error));
     answer_when_seen(key, std::get<WriteReply>(result).stamp, messenger_.timers().now() + milliseconds(1000), answer);
   });
 }
 
 // The answer waits (briefly) for this daemon's own news, so that the next call made here sees the change.
-void Control::answer_when_seen(const std::string& key, Stamp stamp, Moment until, ControlAnswer answer) {
+void Control::answer_when_seen(const std::string& key, Stamp stamp, TimePoint until, ControlAnswer answer) {
   const auto configuration = shared_state_.configuration.get();
   const auto slash = key.find('/');
   const std::string type = key.substr(0, slash), name = key.substr(slash + 1);
@@ -259,10 +260,10 @@
 void Control::show(const std::string& type, const std::string& name, ControlAnswer answer) {
   // The owner's word, confirmed by a majority, and who of the members has taken it.
   client_.read(type + "/" + name, milliseconds(3000), [this, type, name, answer](Result<ReadReply> result) {
-    if (auto fault = fault_of(result)) return answer(faulty(*fault));
+    if (auto error = error_of(result)) return answer(faulty(*error));
     const ReadReply reply = std::get<ReadReply>(result);
     if (!reply.found || reply.record.removed)
-      return answer(faulty(Fault{FaultKind::unknown_name, "name", "there is no " + type + " of the name '" + name + "'",
+      return answer(faulty(Error{ErrorKind::unknown_name, "name", "there is no " + type + " of the name '" + name + "'",
                                  "check the name"}));
     const auto members = shared_state_.members.get();
     struct Count {
@@ -278,24 +279,24 @@
                         {"name", name},
                         {"version", reply.record.stamp.version.value},
                         {"epoch", reply.record.stamp.epoch.value},
-                        {"spec", fault_of(spec) ? json::value(nullptr) : std::get<json::value>(spec)}};
+                        {"spec", error_of(spec) ? json::value(nullptr) : std::get<json::value>(spec)}};
       body["status"] = json::object{{"taken", count->taken}, {"members", all}, {"waiting", count->waiting}};
       answer(ControlReply{200, body, false});
     };
     for (const auto& [address, member] : members->all)
-      messenger_.ask(address, Taken{type + "/" + name}, milliseconds(500),
-                     [count, address = address, stamp = reply.record.stamp, finish](Result<TakenReply> taken) {
-                       auto* given = std::get_if<TakenReply>(&taken);
-                       if (given != nullptr && given->found && given->stamp >= stamp)
-                         ++count->taken;
-                       else
-                         count->waiting.push_back(json::value(json::string(address.text)));
-                       if (--count->left == 0) finish();
-                     });
+      messenger_.request(address, Taken{type + "/" + name}, milliseconds(500),
+                         [count, address = address, stamp = reply.record.stamp, finish](Result<TakenReply> taken) {
+                           auto* given = std::get_if<TakenReply>(&taken);
+                           if (given != nullptr && given->found && given->stamp >= stamp)
+                             ++count->taken;
+                           else
+                             count->waiting.push_back(json::value(json::string(address.text)));
+                           if (--count->left == 0) finish();
+                         });
   });
 }
 
-void Control::watch(const Target& target, Moment until, ControlAnswer answer) {
+void Control::watch(const Target& target, TimePoint until, ControlAnswer answer) {
   const auto configuration = shared_state_.configuration.get();
   auto given = target.query.find("digest");
   if (given != target.query.end() && given->second == std::to_string(configuration->digest) &&
@@ -305,7 +306,7 @@
   }
   json::object body{{"digest", std::to_string(configuration->digest)}};
   json::array list;
-  for (const View type : {"lane", "kind", "runner", "zone", "lots", "holder", "aim", "circle"})
+  for (const StringView type : {"lane", "kind", "runner", "zone", "lots", "holder", "aim", "circle"})
     with_table(*configuration, type, [&](const auto& table) {
       for (const auto& [name, entry] : table) list.push_back(resource_json(type, name, entry));
     });
@@ -314,7 +315,7 @@
 }
 
 json::value Control::health() const {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   const auto members = shared_state_.members.get();
   const auto configuration = shared_state_.configuration.get();
   const auto owned = shared_state_.owned.get();
@@ -356,7 +357,7 @@
 void Control::lots(const ControlRequest& request, const Target& target, ControlAnswer answer) {
   const auto& parts = target.parts;
   auto give = [answer](auto result) {
-    if (auto fault = fault_of(result)) return answer(faulty(*fault));
+    if (auto error = error_of(result)) return answer(faulty(*error));
     answer(ControlReply{200, to_json(std::get<0>(result)), false});
   };
   if (parts.size() == 1 && request.method == "GET") return list_lots(std::move(answer));
@@ -364,21 +365,21 @@
   const std::string& id = parts[1];
   if (id.empty() || id.size() > 100 ||
       id.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:") != std::string::npos)
-    return answer(faulty(Fault{FaultKind::invalid, "id",
+    return answer(faulty(Error{ErrorKind::invalid, "id",
                                "the id has characters that are not allowed, or a length outside 1 to 100",
                                "use letters, digits, - _ . :"}));
   if (parts.size() == 2 && request.method == "PUT") {
     if (shared_state_.draining)
-      return answer(faulty(Fault{FaultKind::refused, "lots", "this daemon is shutting down; the lot was not taken",
+      return answer(faulty(Error{ErrorKind::refused, "lots", "this daemon is shutting down; the lot was not taken",
                                  "hand it in again at another daemon"}));
     auto head = read_lot(request.body);
-    if (auto fault = fault_of(head)) return answer(faulty(*fault));
-    return lots_.submit(SubmitLot{id, std::move(std::get<LotHead>(head))}, write_timeout, give);
+    if (auto error = error_of(head)) return answer(faulty(*error));
+    return lots_.submit(SubmitLot{id, std::move(std::get<LotSpecification>(head))}, write_timeout, give);
   }
   if (parts.size() == 2 && request.method == "DELETE") return lots_.end(id, write_timeout, give);
   if (parts.size() == 2 && request.method == "GET")
     return lots_.read(ReadLot{id, 0, 0, {}}, write_timeout, [answer](Result<LotPage> result) {
-      if (auto fault = fault_of(result)) return answer(faulty(*fault));
+      if (auto error = error_of(result)) return answer(faulty(*error));
       answer(ControlReply{200, to_json(std::get<LotPage>(result).lot), false});
     });
   if (parts.size() == 3 && parts[2] == "results" && request.method == "GET") {
@@ -388,11 +389,11 @@
         auto number = whole_number(given->second);
         if (!number || *number > 1000000)
           return answer(
-              faulty(Fault{FaultKind::invalid, name, "this is not a whole number in range", "give 0 to 1000000"}));
+              faulty(Error{ErrorKind::invalid, name, "this is not a whole number in range", "give 0 to 1000000"}));
         *place = static_cast<std::uint32_t>(*number);
       }
     return lots_.read(ReadLot{id, after, limit, {}}, write_timeout, [answer](Result<LotPage> result) {
-      if (auto fault = fault_of(result)) return answer(faulty(*fault));
+      if (auto error = error_of(result)) return answer(faulty(*error));
       answer(ControlReply{200, page_json(std::get<LotPage>(result)), false});
     });
   }
@@ -411,9 +412,9 @@
   gather->left = seats.size();
   if (gather->left == 0)
     return answer(
-        faulty(Fault{FaultKind::refused, "lots", "this daemon knows of no holders yet", "try again in a second"}));
+        faulty(Error{ErrorKind::refused, "lots", "this daemon knows of no holders yet", "try again in a second"}));
   for (const auto& seat : seats)
-    messenger_.ask(seat.address, ListLots{}, milliseconds(1000), [gather, answer](Result<LotList> result) {
+    messenger_.request(seat.address, ListLots{}, milliseconds(1000), [gather, answer](Result<LotList> result) {
       if (auto* list = std::get_if<LotList>(&result))
         for (auto& lot : list->lots) gather->lots[lot.id] = lot;
       else
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -36,15 +36,15 @@
     std::vector<std::string> parts;
     std::map<std::string, std::string> query;
   };
-  static std::optional<Target> split(View target);
+  static std::optional<Target> split(StringView target);
   void resources(const ControlRequest& request, const Target& target, ControlAnswer answer);
   void put(const std::string& type, const std::string& name, const ControlRequest& request, const Target& target,
            ControlAnswer answer, bool second_look);
   void show(const std::string& type, const std::string& name, ControlAnswer answer);
   void remove(const std::string& type, const std::string& name, const Target& target, ControlAnswer answer);
   void write(Write write, ControlAnswer answer);
-  void answer_when_seen(const std::string& key, Stamp stamp, Moment until, ControlAnswer answer);
-  void watch(const Target& target, Moment until, ControlAnswer answer);
+  void answer_when_seen(const std::string& key, Stamp stamp, TimePoint until, ControlAnswer answer);
+  void watch(const Target& target, TimePoint until, ControlAnswer answer);
   void lots(const ControlRequest& request, const Target& target, ControlAnswer answer);
   void list_lots(ControlAnswer answer);
   json::value health() const;
@@ -59,6 +59,6 @@
   LotCalls lots_;
 };
 
-Result<LotHead> read_lot(View body);
+Result<LotSpecification> read_lot(StringView body);
 
 }  // namespace mothwalk
--- a/source/control/fleet_calls.hpp
+++ b/source/control/fleet_calls.hpp
@@ -15,18 +15,18 @@
         orders_(messenger, shared_state),
         zone_orders_(messenger, shared_state) {}
   // As ConfigurationOrders::take.
-  void change(ConfigurationChange change, Span limit, Answer<Version> answer);
-  void show(Span limit, Answer<FleetConfiguration> answer);
+  void change(ConfigurationChange change, Duration limit, ReplyCallback<Version> answer);
+  void show(Duration limit, ReplyCallback<FleetConfiguration> answer);
   // As ZoneOrders::take.
-  void evacuate(const ZoneId& zone, bool evacuated, Span limit, Answer<Done> answer);
+  void evacuate(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer);
   // Faults: unknown_name (no such machine), conflict (too few would remain), both by the word of the confirmed owner of
   // the roster of those that hold lots; refused, unknown. Asked again, it is acknowledged again.
-  void retire(const std::string& machine, Span limit, Answer<Done> answer);
+  void retire(const std::string& machine, Duration limit, ReplyCallback<Success> answer);
   // Whether all that the machine held is held by others, so that it may go with its disk.
-  void retired(const std::string& machine, Span limit, Answer<bool> answer);
+  void retired(const std::string& machine, Duration limit, ReplyCallback<bool> answer);
 
  private:
-  void mark_retired(const Address& holder, Moment until, Answer<Done> answer);
+  void mark_retired(const Address& holder, TimePoint until, ReplyCallback<Success> answer);
 
   Messenger& messenger_;
   StoreClient client_;
--- a/source/control/zone_orders.cpp
+++ b/source/control/zone_orders.cpp
@@ -4,20 +4,20 @@
 namespace mothwalk {
 
 namespace {
-Fault unclear(const std::string& key, std::string message) {
-  return Fault{FaultKind::unknown, key, std::move(message), "send the same order again"};
+Error unclear(const std::string& key, std::string message) {
+  return Error{ErrorKind::unknown, key, std::move(message), "send the same order again"};
 }
 
 // Whether the kept state says that the zone is evacuated; a zone that nothing is kept about is not.
 bool evacuated_in(const ReadReply& reply) {
   if (!reply.found || reply.record.removed) return false;
   const auto zone = from_json<Zone>(reply.record.head);
-  return fault_of(zone) == nullptr && std::get<Zone>(zone).evacuated;
+  return error_of(zone) == nullptr && std::get<Zone>(zone).evacuated;
 }
 }  // namespace
 
-void ZoneOrders::take(const ZoneId& zone, bool evacuated, Span limit, Answer<Done> answer) {
-  const Moment until = messenger_.timers().now() + limit;
+void ZoneOrders::take(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer) {
+  const TimePoint until = messenger_.timers().now() + limit;
   read(std::make_shared<Order>(Order{"zone/" + zone.text, evacuated, until, std::move(answer)}));
 }
 
@@ -25,16 +25,16 @@
   client_.read(
       order->key, order->until - messenger_.timers().now(),
       [this, order](Result<ReadReply> result) {
-        auto fault = fault_of(result);
-        if (fault == nullptr) return decide(order, std::get<ReadReply>(result));
+        auto error = error_of(result);
+        if (error == nullptr) return decide(order, std::get<ReadReply>(result));
         const bool nothing_sent = !order->version;
-        order->answer(nothing_sent ? *fault : unclear(order->key, fault->message));
+        order->answer(nothing_sent ? *error : unclear(order->key, error->message));
       },
       true);
 }
 
 void ZoneOrders::decide(const OrderPointer& order, const ReadReply& reply) {
-  if (evacuated_in(reply) == order->evacuated) return order->answer(Done{});
+  if (evacuated_in(reply) == order->evacuated) return order->answer(Success{});
   const bool exists = reply.found && !reply.record.removed;
   const std::uint64_t version = exists ? reply.record.stamp.version.value : 0;
   if (order->version && *order->version != version)
@@ -49,11 +49,11 @@
   change.head = json::serialize(to_json(Zone{order->evacuated}));
   change.expected = order->version;
   client_.write(std::move(change), order->until - messenger_.timers().now(), [this, order](Result<WriteReply> result) {
-    auto fault = fault_of(result);
-    if (fault == nullptr) return order->answer(Done{});
-    const bool unsure = fault->kind == FaultKind::stale || fault->kind == FaultKind::unknown;
+    auto error = error_of(result);
+    if (error == nullptr) return order->answer(Success{});
+    const bool unsure = error->kind == ErrorKind::stale || error->kind == ErrorKind::unknown;
     if (unsure && messenger_.timers().now() < order->until) return read(order);
-    order->answer(unsure ? unclear(order->key, fault->message) : *fault);
+    order->answer(unsure ? unclear(order->key, error->message) : *error);
   });
 }
 
--- a/source/control/zone_orders.hpp
+++ b/source/control/zone_orders.hpp
@@ -13,14 +13,14 @@
   // Acknowledges once the zone's kept state is the wanted one. Changes it only from the version that was read first, so
   // a call that is still under way can't undo what another order did meanwhile. Faults: refused (nothing was done),
   // unknown (the zone was changed meanwhile, or time is up; send it again).
-  void take(const ZoneId& zone, bool evacuated, Span limit, Answer<Done> answer);
+  void take(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer);
 
  private:
   struct Order {
     std::string key;
     bool evacuated = false;
-    Moment until;
-    Answer<Done> answer;
+    TimePoint until;
+    ReplyCallback<Success> answer;
     std::optional<std::uint64_t> version = {};  // of the zone's record when this call read it first
   };
   using OrderPointer = std::shared_ptr<Order>;
--- /dev/null
+++ b/source/gossip/configuration_gossip.cpp
@@ -0,0 +1,166 @@
+// Spreading, comparing, mending, and the lease that a whole comparison brings.
+#include "gossip/configuration_gossip.hpp"
+
+#include <algorithm>
+
+namespace mothwalk {
+
+namespace {
+std::uint64_t item_hash(const ConfigurationUpdate& item) {
+  return hash_of(item.key, item.stamp.epoch.value * 1000003 + item.stamp.version.value);
+}
+}  // namespace
+
+ConfigurationGossip::ConfigurationGossip(Messenger& messenger, SharedState& shared_state, RandomSource& random,
+                                         bool control, const ConfigurationFormat* format)
+    : messenger_(messenger), shared_state_(shared_state), random_(random), control_(control), format_(format) {
+  messenger_.on_message<PushUpdates>(
+      [this](const Address&, PushUpdates spread) { take(std::move(spread.items), true); });
+  messenger_.on_request<Compare>([this](const Address&, Compare compare, ReplyCallback<CompareReply> answer) {
+    CompareReply reply{compare.digest == view_.digest, majority_lease(), {}};
+    if (!reply.same)
+      for (const auto& [key, item] : items_) reply.listing.push_back(KeyStamp{key, item.stamp});
+    answer(std::move(reply));
+  });
+  messenger_.on_request<FetchUpdates>(
+      [this](const Address&, FetchUpdates fetch, ReplyCallback<FetchUpdatesReply> answer) {
+        FetchUpdatesReply reply;
+        for (const auto& key : fetch.keys)
+          if (auto found = items_.find(key); found != items_.end()) reply.items.push_back(found->second);
+        answer(std::move(reply));
+      });
+  messenger_.on_request<Taken>([this](const Address&, Taken taken, ReplyCallback<TakenReply> answer) {
+    auto found = items_.find(taken.key);
+    if (found == items_.end()) return answer(TakenReply{});
+    answer(TakenReply{true, found->second.removed, found->second.stamp});
+  });
+}
+
+void ConfigurationGossip::start() {
+  tick();
+}
+
+bool ConfigurationGossip::take(std::vector<ConfigurationUpdate> items, bool spread) {
+  std::vector<ConfigurationUpdate> fresh;
+  for (auto& item : items) {
+    auto found = items_.find(item.key);
+    if (found != items_.end() && item.stamp <= found->second.stamp) continue;
+    if (found != items_.end()) view_.digest ^= item_hash(found->second);
+    view_.digest ^= item_hash(item);
+    put_in_view(view_, item.key, item.removed ? nullptr : &item.value, item.stamp, format_);
+    fresh.push_back(item);
+    items_[item.key] = std::move(item);
+  }
+  if (fresh.empty()) return false;
+  shared_state_.configuration.set(view_);
+  if (spread) pass_on(fresh);
+  return true;
+}
+
+void ConfigurationGossip::pass_on(const std::vector<ConfigurationUpdate>& items) {
+  const auto members = shared_state_.members.get();
+  std::vector<Address> others;
+  for (const auto& [address, member] : members->all)
+    if (address != messenger_.self()) others.push_back(address);
+  for (std::size_t count = 0; count < fan_out && !others.empty(); ++count) {
+    const std::size_t index = random_.below(others.size());
+    messenger_.send(others[index], PushUpdates{items});
+    others.erase(others.begin() + static_cast<std::ptrdiff_t>(index));
+  }
+}
+
+Duration ConfigurationGossip::majority_lease() const {
+  if (!control_ || view_.roster.seats.empty()) return Duration{};
+  const TimePoint now = messenger_.timers().now();
+  std::vector<Duration> left;
+  for (const auto& seat : view_.roster.seats) {
+    if (seat.address == messenger_.self())
+      left.push_back(lease_span);
+    else if (auto found = compared_.find(seat.address); found != compared_.end())
+      left.push_back(found->second + lease_span - now);
+  }
+  std::sort(left.rbegin(), left.rend());
+  const std::size_t majority = view_.roster.majority();
+  if (left.size() < majority || left[majority - 1] <= Duration{}) return Duration{};
+  return left[majority - 1];
+}
+
+void ConfigurationGossip::tick() {
+  const auto members = shared_state_.members.get();
+  const TimePoint now = messenger_.timers().now();
+  if (control_) {
+    for (const auto& [address, member] : members->all)
+      if (member.keeps_control() && address != messenger_.self()) compare(address);
+    if (const Duration lease = majority_lease(); lease > Duration{})
+      shared_state_.lease_until = (now + lease).microseconds;
+  } else if (!members->session_server.empty()) {
+    compare(members->session_server);
+    renew_lease();
+  }
+  note_search();
+  messenger_.timers().after(round_span, [this] { tick(); });
+}
+
+// A lease that the home has not renewed in time is sought at the next few other candidates, and so on each round, so
+// that all of them were asked well before this daemon counts as standing alone.
+void ConfigurationGossip::renew_lease() {
+  const Duration left = TimePoint{shared_state_.lease_until.load()} - messenger_.timers().now();
+  if (left > renewal_margin) return void(search_turn_ = 0);
+  auto candidates = control_candidates(shared_state_, messenger_.self(), ZoneId{});
+  for (const auto snapshot = shared_state_.seeds.get(); const auto& seed : *snapshot)
+    add_candidate(candidates, seed, messenger_.self());
+  for (std::size_t count = 0; count < std::min(search_width, candidates.size()); ++count)
+    compare(candidates[search_turn_++ % candidates.size()]);
+}
+
+// A gap between two ticks means that this process was frozen: the search for a lease begins anew.
+void ConfigurationGossip::note_search() {
+  const TimePoint now = messenger_.timers().now();
+  const bool frozen = now.microseconds - shared_state_.gossip_tick.load() > 3 * round_span.count();
+  if (shared_state_.has_lease(now))
+    shared_state_.lease_sought_since = -1;
+  else if (shared_state_.lease_sought_since.load() < 0 || frozen)
+    shared_state_.lease_sought_since = now.microseconds;
+  shared_state_.gossip_tick = now.microseconds;
+}
+
+void ConfigurationGossip::compare(const Address& peer) {
+  if (!comparing_.insert(peer).second) return;
+  const TimePoint began = messenger_.timers().now();
+  messenger_.request(peer, Compare{view_.digest}, std::chrono::milliseconds(500),
+                     [this, peer, began](Result<CompareReply> result) {
+                       auto* reply = std::get_if<CompareReply>(&result);
+                       if (reply == nullptr) return void(comparing_.erase(peer));
+                       if (reply->same) return finish(peer, began, reply->lease);
+                       FetchUpdates wanted;
+                       PushUpdates owed;
+                       std::map<std::string, Stamp> theirs;
+                       for (const auto& each : reply->listing) {
+                         theirs[each.key] = each.stamp;
+                         auto found = items_.find(each.key);
+                         if (found == items_.end() || found->second.stamp < each.stamp) wanted.keys.push_back(each.key);
+                       }
+                       for (const auto& [key, item] : items_)
+                         if (auto found = theirs.find(key); found == theirs.end() || found->second < item.stamp)
+                           owed.items.push_back(item);
+                       if (!owed.items.empty()) messenger_.send(peer, owed);
+                       if (wanted.keys.empty()) return finish(peer, began, reply->lease);
+                       messenger_.request(peer, wanted, std::chrono::milliseconds(500),
+                                          [this, peer, began, lease = reply->lease](Result<FetchUpdatesReply> fetched) {
+                                            auto* items = std::get_if<FetchUpdatesReply>(&fetched);
+                                            if (items == nullptr) return void(comparing_.erase(peer));
+                                            take(std::move(items->items), false);
+                                            finish(peer, began, lease);
+                                          });
+                     });
+}
+
+void ConfigurationGossip::finish(const Address& peer, TimePoint began, Duration lease) {
+  comparing_.erase(peer);
+  compared_[peer] = began;
+  if (control_ || lease <= Duration{}) return;
+  const std::int64_t until = (began + std::min(lease, lease_span)).microseconds;
+  if (until > shared_state_.lease_until.load()) shared_state_.lease_until = until;
+}
+
+}  // namespace mothwalk
--- a/source/news/news.hpp
+++ b/source/gossip/configuration_gossip.hpp
@@ -7,16 +7,16 @@
 
 namespace mothwalk {
 
-struct NewsItem {
+struct ConfigurationUpdate {
   std::string key;
   Stamp stamp;
   bool removed = false;
   Bytes value;
   MOTHWALK_FIELDS(key, stamp, removed, value)
 };
-struct Spread {
-  static constexpr View kind = "news.spread";
-  std::vector<NewsItem> items;
+struct PushUpdates {
+  static constexpr StringView kind = "news.spread";
+  std::vector<ConfigurationUpdate> items;
   MOTHWALK_FIELDS(items)
 };
 struct KeyStamp {
@@ -26,23 +26,23 @@
 };
 struct CompareReply {
   bool same = false;
-  Span lease{};  // how long a daemon that reaches this digest may serve; zero for not at all
+  Duration lease{};  // how long a daemon that reaches this digest may serve; zero for not at all
   std::vector<KeyStamp> listing;
   MOTHWALK_FIELDS(same, lease, listing)
 };
 struct Compare {
-  static constexpr View kind = "news.compare";
+  static constexpr StringView kind = "news.compare";
   using Reply = CompareReply;
   std::uint64_t digest = 0;
   MOTHWALK_FIELDS(digest)
 };
-struct FetchNewsReply {
-  std::vector<NewsItem> items;
+struct FetchUpdatesReply {
+  std::vector<ConfigurationUpdate> items;
   MOTHWALK_FIELDS(items)
 };
-struct FetchNews {
-  static constexpr View kind = "news.fetch";
-  using Reply = FetchNewsReply;
+struct FetchUpdates {
+  static constexpr StringView kind = "news.fetch";
+  using Reply = FetchUpdatesReply;
   std::vector<std::string> keys;
   MOTHWALK_FIELDS(keys)
 };
@@ -52,41 +52,42 @@
   MOTHWALK_FIELDS(found, removed, stamp)
 };
 struct Taken {
-  static constexpr View kind = "news.taken";
+  static constexpr StringView kind = "news.taken";
   using Reply = TakenReply;
   std::string key;
   MOTHWALK_FIELDS(key)
 };
 
-class News {
+class ConfigurationGossip {
  public:
-  News(Messenger& messenger, SharedState& shared_state, RandomSource& random, bool control,
-       const ConfigurationFormat* format = nullptr);
+  ConfigurationGossip(Messenger& messenger, SharedState& shared_state, RandomSource& random, bool control,
+                      const ConfigurationFormat* format = nullptr);
   void start();
 
  private:
-  static constexpr Span round_span = std::chrono::milliseconds(200);
-  static constexpr Span lease_span = std::chrono::milliseconds(800);
-  static constexpr Span renewal_margin = std::chrono::milliseconds(300);  // what is left of a lease that is sought anew
+  static constexpr Duration round_span = std::chrono::milliseconds(200);
+  static constexpr Duration lease_span = std::chrono::milliseconds(800);
+  static constexpr Duration renewal_margin =
+      std::chrono::milliseconds(300);  // what is left of a lease that is sought anew
   static constexpr std::size_t fan_out = 3;
   static constexpr std::size_t search_width = 3;  // control daemons that are asked at once for a lease
   void tick();
   void renew_lease();
   void note_search();
   void compare(const Address& peer);
-  void finish(const Address& peer, Moment began, Span lease);
-  bool take(std::vector<NewsItem> items, bool spread);
-  void pass_on(const std::vector<NewsItem>& items);
-  Span majority_lease() const;
+  void finish(const Address& peer, TimePoint began, Duration lease);
+  bool take(std::vector<ConfigurationUpdate> items, bool spread);
+  void pass_on(const std::vector<ConfigurationUpdate>& items);
+  Duration majority_lease() const;
 
   Messenger& messenger_;
   SharedState& shared_state_;
   RandomSource& random_;
   bool control_;
   const ConfigurationFormat* format_;
-  std::map<std::string, NewsItem> items_;
+  std::map<std::string, ConfigurationUpdate> items_;
   ConfigurationView view_;
-  std::map<Address, Moment> compared_;  // when the last whole comparison with that control daemon began
+  std::map<Address, TimePoint> compared_;  // when the last whole comparison with that control daemon began
   std::set<Address> comparing_;
   std::size_t search_turn_ = 0;
 };
--- a/source/host/beast_exchange.cpp
+++ b/source/host/beast_runner_client.cpp
@@ -1,20 +1,20 @@
 // One attempt: a connection, its request, the head and the body piece by piece, each step under its budget. A
 // connection is always being read, so that its end, or an answer that nobody waits for, is seen while it is idle.
-#include "host/beast_exchange.hpp"
+#include "host/beast_runner_client.hpp"
 
 #include <algorithm>
 #include <array>
 
 #include "host/http_reader.hpp"
-#include "host/tcp_wire.hpp"
-#include "seams/dialect.hpp"
+#include "host/tcp_transport.hpp"
+#include "interfaces/dialect.hpp"
 
 namespace mothwalk {
 
 using boost::asio::ip::tcp;
 
 namespace {
-constexpr Span unstated_idle =
+constexpr Duration unstated_idle =
     std::chrono::milliseconds(800);  // where a runner does not say how long it keeps idle ones
 constexpr std::size_t input_bytes = 8192;
 
@@ -37,7 +37,7 @@
 }
 
 // The seconds of "timeout=5, max=100".
-std::optional<Span> idle_of(const std::vector<Header>& headers) {
+std::optional<Duration> idle_of(const std::vector<Header>& headers) {
   const std::string* text = header_of(headers, "Keep-Alive");
   if (text == nullptr) return std::nullopt;
   const auto begin = text->find("timeout=");
@@ -50,7 +50,7 @@
 }
 }  // namespace
 
-struct BeastExchange::Connection {
+struct BeastRunnerClient::Connection {
   Connection(boost::asio::io_context& context, std::uint64_t given, std::string key_given)
       : number(given), key(std::move(key_given)), socket(context) {}
   std::uint64_t number;
@@ -59,13 +59,13 @@
   std::array<char, input_bytes> input;
   std::size_t filled = 0;
   bool closed = false, reading = false, used_before = false;
-  Moment used;
-  Span idle = unstated_idle;
+  TimePoint used;
+  Duration idle = unstated_idle;
 
   // Of the attempt that it carries; no watcher: idle.
   Id id = 0;
-  Moment decided;  // when its caller decided to send it
-  std::shared_ptr<AttemptWatcher> watcher;
+  TimePoint decided;  // when its caller decided to send it
+  std::shared_ptr<AttemptObserver> watcher;
   AttemptRequest request;
   std::string head;
   std::size_t sent = 0;
@@ -74,7 +74,7 @@
   std::optional<HttpReader<false>> reader;
 };
 
-BeastExchange::~BeastExchange() {
+BeastRunnerClient::~BeastRunnerClient() {
   for (auto& [number, connection] : connections_) {
     connection->closed = true;
     connection->watcher.reset();
@@ -83,12 +83,12 @@
   }
 }
 
-Exchange::Id BeastExchange::start(const AttemptRequest& given, std::shared_ptr<AttemptWatcher> watcher) {
+RunnerClient::Id BeastRunnerClient::start(const AttemptRequest& given, std::shared_ptr<AttemptObserver> watcher) {
   return start_decided(given, std::move(watcher), clock_());
 }
 
-Exchange::Id BeastExchange::start_decided(const AttemptRequest& given, std::shared_ptr<AttemptWatcher> watcher,
-                                          Moment decided) {
+RunnerClient::Id BeastRunnerClient::start_decided(const AttemptRequest& given, std::shared_ptr<AttemptObserver> watcher,
+                                                  TimePoint decided) {
   const Id id = ++last_;
   const std::string key = pool_key(given.to, given.runner);
   ConnectionPointer connection = idle_for(key, given.repeatable);
@@ -125,13 +125,13 @@
 }
 
 // The idle connection used last, if it is good enough for this work.
-BeastExchange::ConnectionPointer BeastExchange::idle_for(const std::string& key, bool repeatable) {
+BeastRunnerClient::ConnectionPointer BeastRunnerClient::idle_for(const std::string& key, bool repeatable) {
   auto found = pools_.find(key);
   if (found == pools_.end()) return nullptr;
-  const Moment now = clock_();
+  const TimePoint now = clock_();
   while (!found->second.idle.empty()) {
     const ConnectionPointer connection = found->second.idle.back();
-    const Span age = now - connection->used;
+    const Duration age = now - connection->used;
     if (age * 2 > connection->idle && !repeatable && age * 4 < connection->idle * 3) return nullptr;
     boost::system::error_code error;
     char byte = 0;
@@ -148,19 +148,19 @@
   return nullptr;
 }
 
-void BeastExchange::connect(const ConnectionPointer& connection) {
+void BeastRunnerClient::connect(const ConnectionPointer& connection) {
   const auto endpoint = endpoint_of(connection->request.to);
   boost::system::error_code error;
   if (endpoint) connection->socket.open(endpoint->protocol(), error);
   if (!endpoint || error) {
-    boost::asio::post(context_, [this, connection] { finish(connection, AttemptEnd::not_sent); });
+    boost::asio::post(context_, [this, connection] { finish(connection, AttemptOutcome::not_sent); });
     return;
   }
   ++counts_.opened;
   deadlines_.set(connection->number, connection->decided + connection->request.connecting);
   connection->socket.async_connect(*endpoint, [this, connection](const boost::system::error_code& failed) {
     if (connection->closed) return;
-    if (failed) return finish(connection, AttemptEnd::not_sent);
+    if (failed) return finish(connection, AttemptOutcome::not_sent);
     connection->connected = true;
     boost::system::error_code ignored;
     connection->socket.set_option(tcp::no_delay(true), ignored);
@@ -170,28 +170,28 @@
   });
 }
 
-bool BeastExchange::outdated(const Connection& connection) const {
+bool BeastRunnerClient::outdated(const Connection& connection) const {
   return clock_() - connection.decided > connection.request.connecting;
 }
 
 // A process that was suspended since the decision wakes with a configuration that may be old: it sends nothing. Where
 // the suspension fell between the check and the end of the write, the runner may have begun, and is reset at once.
-void BeastExchange::write_first(const ConnectionPointer& connection) {
-  auto later = [this, connection, id = connection->id](AttemptEnd end) {
+void BeastRunnerClient::write_first(const ConnectionPointer& connection) {
+  auto later = [this, connection, id = connection->id](AttemptOutcome end) {
     boost::asio::post(context_, [this, connection, id, end] {
       if (connection->id == id) finish(connection, end);
     });
   };
-  if (outdated(*connection)) return later(AttemptEnd::not_sent);
+  if (outdated(*connection)) return later(AttemptOutcome::not_sent);
   write(connection);
   if (connection->sent == 0 || !outdated(*connection)) return;
   boost::system::error_code ignored;
   connection->socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
   connection->socket.close(ignored);
-  later(AttemptEnd::broken);
+  later(AttemptOutcome::broken);
 }
 
-void BeastExchange::write(const ConnectionPointer& connection) {
+void BeastRunnerClient::write(const ConnectionPointer& connection) {
   const std::size_t body = connection->request.body ? connection->request.body->size() : 0;
   const std::size_t whole = connection->head.size() + body;
   boost::system::error_code error;
@@ -223,7 +223,7 @@
     });
 }
 
-void BeastExchange::read(const ConnectionPointer& connection) {
+void BeastRunnerClient::read(const ConnectionPointer& connection) {
   if (connection->held || connection->reading || connection->closed) return;
   connection->reading = true;
   connection->socket.async_read_some(
@@ -241,23 +241,23 @@
       });
 }
 
-void BeastExchange::take(const ConnectionPointer& connection, std::size_t count) {
+void BeastRunnerClient::take(const ConnectionPointer& connection, std::size_t count) {
   connection->filled += count;
   connection->any_byte = true;
   HttpReader<false>& reader = *connection->reader;
   boost::system::error_code error;
-  const std::size_t used = reader.feed(View(connection->input.data(), connection->filled), error);
+  const std::size_t used = reader.feed(StringView(connection->input.data(), connection->filled), error);
   std::copy(connection->input.begin() + static_cast<std::ptrdiff_t>(used),
             connection->input.begin() + static_cast<std::ptrdiff_t>(connection->filled), connection->input.begin());
   connection->filled -= used;
-  const std::shared_ptr<AttemptWatcher> watcher = connection->watcher;
+  const std::shared_ptr<AttemptObserver> watcher = connection->watcher;
   const Id id = connection->id;
   auto mine = [&] {
     return !connection->closed && connection->id == id;
   };
   if (reader.is_header_done() && !connection->headed) {
     connection->headed = true;
-    if (error || reader.status < 200 || reader.status > 599) return finish(connection, AttemptEnd::broken);
+    if (error || reader.status < 200 || reader.status > 599) return finish(connection, AttemptOutcome::broken);
     if (const auto idle = idle_of(reader.headers)) connection->idle = *idle;
     watcher->on_head(reader.status, reader.headers);
     if (!mine()) return;
@@ -265,12 +265,12 @@
   if (!reader.body.empty()) {
     connection->any_piece = true;
     const Bytes piece = std::exchange(reader.body, {});
-    watcher->on_piece(piece);
+    watcher->on_chunk(piece);
     if (!mine()) return;
   }
   if (error || (connection->filled == connection->input.size() && used == 0))
-    return finish(connection, AttemptEnd::broken);
-  if (reader.is_done()) return finish(connection, AttemptEnd::whole);
+    return finish(connection, AttemptOutcome::broken);
+  if (reader.is_done()) return finish(connection, AttemptOutcome::whole);
   watcher->on_pause();
   if (!mine()) return;
   if (connection->held)
@@ -282,25 +282,25 @@
 }
 
 // An answer without a length or chunks is whole where its connection ends in order; a reset is a break.
-void BeastExchange::input_ended(const ConnectionPointer& connection, const boost::system::error_code& error) {
+void BeastRunnerClient::input_ended(const ConnectionPointer& connection, const boost::system::error_code& error) {
   const bool unframed = connection->headed && connection->reader->need_eof();
   if (error != boost::asio::error::eof || !unframed) return broken(connection);
-  finish(connection, AttemptEnd::whole);
+  finish(connection, AttemptOutcome::whole);
 }
 
 // The connection ended before the answer did. Where that was one kept since an earlier request, and no byte of an
 // answer came, repeatable work goes again over a fresh one, while the decision to send it to this runner is fresh; any
 // work does where nothing was written.
-void BeastExchange::broken(const ConnectionPointer& connection) {
+void BeastRunnerClient::broken(const ConnectionPointer& connection) {
   const bool again = connection->used_before && !connection->any_byte && !outdated(*connection) &&
                      (connection->request.repeatable || connection->sent == 0);
   if (!again)
     return finish(connection,
-                  !connection->any_byte && connection->sent == 0 ? AttemptEnd::not_sent : AttemptEnd::broken);
+                  !connection->any_byte && connection->sent == 0 ? AttemptOutcome::not_sent : AttemptOutcome::broken);
   ++counts_.stale;
   const Id id = connection->id;
   AttemptRequest request = std::move(connection->request);
-  const Moment decided = connection->decided;
+  const TimePoint decided = connection->decided;
   const bool sent_before = connection->sent_before || connection->sent > 0;
   auto watcher = std::move(connection->watcher);
   connection->watcher.reset();
@@ -315,16 +315,16 @@
   attempts_.insert(std::move(taken));
 }
 
-void BeastExchange::finish(const ConnectionPointer& connection, AttemptEnd end) {
+void BeastRunnerClient::finish(const ConnectionPointer& connection, AttemptOutcome end) {
   if (!connection->watcher || connection->closed) return;
   const auto watcher = std::exchange(connection->watcher, nullptr);
   attempts_.erase(connection->id);
-  if (end == AttemptEnd::not_sent && connection->sent_before) end = AttemptEnd::broken;
-  const bool kept = end == AttemptEnd::whole && connection->written && connection->filled == 0 &&
-                    connection->reader->is_done() && connection->reader->keep_alive() && connection->idle > Span{} &&
-                    connection->request.keep_connection;
+  if (end == AttemptOutcome::not_sent && connection->sent_before) end = AttemptOutcome::broken;
+  const bool kept = end == AttemptOutcome::whole && connection->written && connection->filled == 0 &&
+                    connection->reader->is_done() && connection->reader->keep_alive() &&
+                    connection->idle > Duration{} && connection->request.keep_connection;
   if (!kept) {
-    counts_.unasked += end == AttemptEnd::whole && connection->filled > 0;
+    counts_.unasked += end == AttemptOutcome::whole && connection->filled > 0;
     close(connection);
   } else {
     connection->request = {};
@@ -337,7 +337,7 @@
   watcher->on_end(end);
 }
 
-void BeastExchange::close(const ConnectionPointer& given) {
+void BeastRunnerClient::close(const ConnectionPointer& given) {
   const ConnectionPointer connection = given;
   if (connection->closed) return;
   connection->closed = true;
@@ -353,7 +353,7 @@
   connection->socket.close(ignored);
 }
 
-void BeastExchange::close_idle_of(const std::string& key) {
+void BeastRunnerClient::close_idle_of(const std::string& key) {
   auto pool = pools_.find(key);
   while (pool != pools_.end() && !pool->second.idle.empty()) {
     close(ConnectionPointer(pool->second.idle.back()));
@@ -361,24 +361,24 @@
   }
 }
 
-void BeastExchange::close_idle(const Address& to, const std::string& runner) {
+void BeastRunnerClient::close_idle(const Address& to, const std::string& runner) {
   close_idle_of(pool_key(to, runner));
 }
 
-std::size_t BeastExchange::connections(const Address& to, const std::string& runner) const {
+std::size_t BeastRunnerClient::connections(const Address& to, const std::string& runner) const {
   auto pool = pools_.find(pool_key(to, runner));
   return pool == pools_.end() ? 0 : pool->second.open;
 }
 
-void BeastExchange::due(std::uint64_t key) {
+void BeastRunnerClient::due(std::uint64_t key) {
   auto found = connections_.find(key);
   if (found == connections_.end()) return;
   const ConnectionPointer connection = found->second;
   if (!connection->watcher) return close(connection);
-  finish(connection, connection->connected ? AttemptEnd::late : AttemptEnd::not_sent);
+  finish(connection, connection->connected ? AttemptOutcome::late : AttemptOutcome::not_sent);
 }
 
-void BeastExchange::hold(Id id, bool held) {
+void BeastRunnerClient::hold(Id id, bool held) {
   auto found = attempts_.find(id);
   if (found == attempts_.end() || found->second->held == held) return;
   const ConnectionPointer connection = found->second;
@@ -388,7 +388,7 @@
   read(connection);
 }
 
-void BeastExchange::cancel(Id id) {
+void BeastRunnerClient::cancel(Id id) {
   auto found = attempts_.find(id);
   if (found != attempts_.end()) close(ConnectionPointer(found->second));
 }
--- a/source/host/beast_exchange.hpp
+++ b/source/host/beast_runner_client.hpp
@@ -11,14 +11,14 @@
   std::uint64_t opened = 0, reused = 0, stale = 0, unasked = 0;
 };
 
-class BeastExchange : public Exchange {
+class BeastRunnerClient : public RunnerClient {
  public:
-  using Clock = std::function<Moment()>;
+  using Clock = std::function<TimePoint()>;
   // `clock` is steady and counts suspended time; tests give one of their own.
-  explicit BeastExchange(boost::asio::io_context& context, Clock clock = steady_now)
+  explicit BeastRunnerClient(boost::asio::io_context& context, Clock clock = steady_now)
       : context_(context), clock_(std::move(clock)), deadlines_(context, [this](std::uint64_t key) { due(key); }) {}
-  ~BeastExchange() override;
-  Id start(const AttemptRequest& request, std::shared_ptr<AttemptWatcher> watcher) override;
+  ~BeastRunnerClient() override;
+  Id start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> watcher) override;
   void cancel(Id id) override;
   void close_idle(const Address& to, const std::string& runner) override;
   std::size_t connections(const Address& to, const std::string& runner) const override;
@@ -34,7 +34,7 @@
   };
   ConnectionPointer idle_for(const std::string& key, bool repeatable);
   void close_idle_of(const std::string& key);
-  Id start_decided(const AttemptRequest& request, std::shared_ptr<AttemptWatcher> watcher, Moment decided);
+  Id start_decided(const AttemptRequest& request, std::shared_ptr<AttemptObserver> watcher, TimePoint decided);
   void connect(const ConnectionPointer& connection);
   // Whether the decision to send this attempt is too old to act on.
   bool outdated(const Connection& connection) const;
@@ -44,7 +44,7 @@
   void take(const ConnectionPointer& connection, std::size_t count);
   void input_ended(const ConnectionPointer& connection, const boost::system::error_code& error);
   void broken(const ConnectionPointer& connection);
-  void finish(const ConnectionPointer& connection, AttemptEnd end);
+  void finish(const ConnectionPointer& connection, AttemptOutcome end);
   void close(const ConnectionPointer& connection);
   void due(std::uint64_t key);
 
--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -10,7 +10,7 @@
 namespace mothwalk {
 
 namespace {
-constexpr Span last_answers = std::chrono::milliseconds(250);  // for those that are given when a drain is over
+constexpr Duration last_answers = std::chrono::milliseconds(250);  // for those that are given when a drain is over
 
 // As many files as the system lets this process open; callers may hold half of them, since each may need a attempt.
 std::size_t most_sessions() {
@@ -22,7 +22,7 @@
 }
 }  // namespace
 
-Daemon::Daemon(Settings settings, std::string version, std::unique_ptr<Place> place)
+Daemon::Daemon(Settings settings, std::string version, std::unique_ptr<PlatformAdapter> place)
     : settings_(std::move(settings)), place_(std::move(place)) {
   self_.address = settings_.address;
   self_.zone = settings_.zone;
@@ -33,27 +33,27 @@
   self_.name = settings_.name;
   // Later starts at one address have higher incarnations; a clock that went back only delays the newer one's standing.
   self_.incarnation =
-      new_incarnation(std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch()),
+      new_incarnation(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()),
                       store_duty_.thread.random());
 }
 
 Daemon::~Daemon() {
-  if (wire_) wire_->stop();
+  if (transport_) transport_->stop();
   for (Duty* duty : duties_) duty->thread.stop();
   if (disk_) disk_->stop();
 }
 
 void Daemon::make_messenger(Duty& duty, const std::string& slice) {
   duty.messenger =
-      std::make_unique<Messenger>(*wire_, duty.thread.timers(), settings_.address, self_.incarnation, slice);
-  wire_->route(slice, [&duty](Envelope envelope) {
+      std::make_unique<Messenger>(*transport_, duty.thread.timers(), settings_.address, self_.incarnation, slice);
+  transport_->route(slice, [&duty](Envelope envelope) {
     duty.thread.offer([&duty, envelope = std::move(envelope)]() mutable { duty.messenger->take(std::move(envelope)); });
   });
 }
 
-Result<Done> Daemon::open() {
-  wire_ = std::make_unique<TcpWire>(
-      settings_.address, [](View sentence) { logs::warn("wire", sentence); }, shared_context_);
+Result<Success> Daemon::open() {
+  transport_ = std::make_unique<TcpTransport>(
+      settings_.address, [](StringView sentence) { logs::warn("wire", sentence); }, shared_context_);
   const bool holder = !settings_.data_folder.empty();
   const bool keeps_control = holder && settings_.keeps != "lots", keeps_lots = holder && settings_.keeps != "control";
   const Dialect& dialect = place_ ? place_->dialect() : plain_dialect();
@@ -70,22 +70,22 @@
     disk_ = std::make_unique<FileDisk>(
         settings_.data_folder, [this](Task task) { boost::asio::post(store_duty_.thread.context(), std::move(task)); });
     auto opened = disk_->open();
-    if (auto fault = fault_of(opened)) return *fault;
+    if (auto error = error_of(opened)) return *error;
     ReplicatedStore::Report report;
-    report.note = [](View sentence) {
+    report.note = [](StringView sentence) {
       logs::note("store", sentence);
     };
     store_ = std::make_unique<ReplicatedStore>(*store_duty_.messenger, shared_state_, *disk_,
                                                store_duty_.thread.random(), self_, settings_.seeds, std::move(report),
                                                settings_.first_start, settings_.disk_limit_mb * 1000000);
     auto loaded = store_->load();
-    if (auto fault = fault_of(loaded)) return *fault;
+    if (auto error = error_of(loaded)) return *error;
     self_.holder = store_->identity();
   }
   if (keeps_control) {
     make_messenger(circle_duty_, "circle");
     circle_ = std::make_unique<CircleDuty>(*circle_duty_.messenger, shared_state_);
-    circle_->note = [](View sentence) {
+    circle_->note = [](StringView sentence) {
       logs::note("circle", sentence);
     };
   }
@@ -94,18 +94,18 @@
     lots_ = std::make_unique<Lots>(*lots_duty_.messenger, shared_state_);
   }
   sessions_ = std::make_unique<Sessions>(*sessions_duty_.messenger, shared_state_, self_, settings_.seeds);
-  news_ =
-      std::make_unique<News>(*news_duty_.messenger, shared_state_, news_duty_.thread.random(), keeps_control, format);
+  news_ = std::make_unique<ConfigurationGossip>(*news_duty_.messenger, shared_state_, news_duty_.thread.random(),
+                                                keeps_control, format);
   // Where machines hold lots alone, these place the items as well.
   if (!place_ || settings_.keeps == "lots") {
     make_messenger(placing_duty_, "placing");
-    lot_exchange_ = std::make_unique<BeastExchange>(placing_duty_.thread.context());
-    placing_ = std::make_unique<Placing>(*placing_duty_.messenger, shared_state_, *lot_exchange_,
-                                         placing_duty_.thread.random(), dialect);
+    lot_exchange_ = std::make_unique<BeastRunnerClient>(placing_duty_.thread.context());
+    placing_ = std::make_unique<ItemPlacer>(*placing_duty_.messenger, shared_state_, *lot_exchange_,
+                                            placing_duty_.thread.random(), dialect);
   }
   if (place_ && !settings_.control.empty()) {
     make_messenger(listing_duty_, "listing");
-    list_exchange_ = std::make_unique<BeastExchange>(listing_duty_.thread.context());
+    list_exchange_ = std::make_unique<BeastRunnerClient>(listing_duty_.thread.context());
     list_source_ = place_->list_source();
     runner_list_ = std::make_unique<RunnerList>(*listing_duty_.messenger, shared_state_, *list_exchange_,
                                                 listing_duty_.thread.random(), *list_source_);
@@ -115,7 +115,7 @@
   if (place_) surface_ = place_->surface(*control_duty_.messenger, shared_state_, control_duty_.thread.random(), self_);
   if (!settings_.callers.empty()) {
     make_messenger(routes_duty_, "routes");
-    live_exchange_ = std::make_unique<BeastExchange>(routes_duty_.thread.context());
+    live_exchange_ = std::make_unique<BeastRunnerClient>(routes_duty_.thread.context());
     router_ = std::make_unique<Router>(*routes_duty_.messenger, shared_state_, *live_exchange_,
                                        routes_duty_.thread.random(), self_, dialect);
     front_ = std::make_unique<Front>(
@@ -126,23 +126,24 @@
           });
         },
         most_sessions(),
-        surface_ ? Front::ToControlSide([this](View method, View target, const std::vector<Header>& headers) {
-          return surface_->takes(method, target, headers);
-        })
-                 : Front::ToControlSide());
+        surface_
+            ? Front::ToControlSide([this](StringView method, StringView target, const std::vector<Header>& headers) {
+                return surface_->takes(method, target, headers);
+              })
+            : Front::ToControlSide());
     router_->serves_while_draining = place_ != nullptr;
-    router_->warn = [](View sentence) {
+    router_->warn = [](StringView sentence) {
       logs::warn("routes", sentence);
     };
   }
   return listen();
 }
 
-Result<Done> Daemon::listen() {
-  auto result = wire_->listen();
-  if (front_ && !fault_of(result)) result = front_->listen(settings_.callers, true);
+Result<Success> Daemon::listen() {
+  auto result = transport_->listen();
+  if (front_ && !error_of(result)) result = front_->listen(settings_.callers, true);
   for (const Address& address : {settings_.control, settings_.health})
-    if (front_ && !address.empty() && !fault_of(result)) result = front_->listen(address, false);
+    if (front_ && !address.empty() && !error_of(result)) result = front_->listen(address, false);
   return result;
 }
 
@@ -155,7 +156,7 @@
 
 json::value Daemon::load() {
   std::lock_guard lock(counts_mutex_);
-  const WireCounts& wire = wire_->counts();
+  const WireCounts& wire = transport_->counts();
   json::object dropped;
   for (Duty* duty : duties_)
     if (duty->messenger && duty->thread.dropped() > 0) dropped[duty->messenger->slice()] = duty->thread.dropped();
@@ -179,7 +180,7 @@
 int Daemon::run() {
   logs::note("daemon",
              "Serving callers at " + settings_.callers.text + " and operators at " + settings_.control.text + ".");
-  wire_->start();
+  transport_->start();
   for (Duty* duty : duties_) duty->thread.start();
   sessions_duty_.thread.offer([this] { sessions_->start(); });
   news_duty_.thread.offer([this] { news_->start(); });
@@ -191,10 +192,10 @@
   if (runner_list_) listing_duty_.thread.offer([this] { runner_list_->start(); });
   boost::asio::signal_set signals(main_, SIGTERM, SIGINT, SIGHUP);
   boost::asio::steady_timer timer(main_);
-  Moment drain_until{}, drain_began{};
+  TimePoint drain_until{}, drain_began{};
   // Watchers of a place's health answers need a moment to send new callers elsewhere.
-  const Span drain_least =
-      settings_.health.empty() ? Span(std::chrono::milliseconds(200)) : Span(std::chrono::milliseconds(2600));
+  const Duration drain_least =
+      settings_.health.empty() ? Duration(std::chrono::milliseconds(200)) : Duration(std::chrono::milliseconds(2600));
   std::string last_state;
   std::function<void()> watch = [&] {
     if (router_)
@@ -226,7 +227,7 @@
         std::lock_guard lock(counts_mutex_);
         store_counts_ = store_->counts();
       });
-    const Moment now = steady_now();
+    const TimePoint now = steady_now();
     const std::string state =
         shared_state_.has_lease(now) ? "The configuration is fresh; this daemon serves."
         : shared_state_.lease_until < 0
@@ -271,8 +272,8 @@
   seeds_read_ = steady_now();
   if (!place_) return;
   auto seeds = seeds_read_again(settings_, place_->settings());
-  if (auto fault = fault_of(seeds)) {
-    const std::string why = fault->field + ": " + fault->message;
+  if (auto error = error_of(seeds)) {
+    const std::string why = error->field + ": " + error->message;
     if (why != refused_settings_) logs::warn("daemon", "The settings were read again and are refused: " + why + ".");
     refused_settings_ = why;
     return;
--- a/source/host/deadlines.hpp
+++ b/source/host/deadlines.hpp
@@ -9,7 +9,7 @@
  public:
   Deadlines(boost::asio::io_context& context, std::function<void(std::uint64_t)> due)
       : timer_(context), due_(std::move(due)) {}
-  void set(std::uint64_t key, Moment at) {
+  void set(std::uint64_t key, TimePoint at) {
     clear(key);
     moments_[key] = at;
     order_.emplace(at, key);
@@ -27,10 +27,10 @@
     armed_.reset();
     if (order_.empty()) return;
     armed_ = order_.begin()->first;
-    timer_.expires_after(std::max(Span{}, *armed_ - steady_now()));
+    timer_.expires_after(std::max(Duration{}, *armed_ - steady_now()));
     timer_.async_wait([this](const boost::system::error_code& error) {
       if (error) return;
-      const Moment now = steady_now();
+      const TimePoint now = steady_now();
       std::vector<std::uint64_t> keys;
       while (!order_.empty() && order_.begin()->first <= now) {
         keys.push_back(order_.begin()->second);
@@ -43,9 +43,9 @@
   }
   boost::asio::steady_timer timer_;
   std::function<void(std::uint64_t)> due_;
-  std::unordered_map<std::uint64_t, Moment> moments_;
-  std::set<std::pair<Moment, std::uint64_t>> order_;
-  std::optional<Moment> armed_;
+  std::unordered_map<std::uint64_t, TimePoint> moments_;
+  std::set<std::pair<TimePoint, std::uint64_t>> order_;
+  std::optional<TimePoint> armed_;
 };
 
 }  // namespace mothwalk
--- a/source/host/duty_thread.cpp
+++ b/source/host/duty_thread.cpp
@@ -8,17 +8,17 @@
 
 namespace mothwalk {
 
-Moment steady_now() {
+TimePoint steady_now() {
   timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
-  return Moment{static_cast<std::int64_t>(time.tv_sec) * 1000000 + time.tv_nsec / 1000};
+  return TimePoint{static_cast<std::int64_t>(time.tv_sec) * 1000000 + time.tv_nsec / 1000};
 }
 
-Moment AsioTimers::now() const {
+TimePoint AsioTimers::now() const {
   return steady_now();
 }
 
-Timers::Id AsioTimers::after(Span span, Task task) {
+Timers::Id AsioTimers::after(Duration span, Task task) {
   const Id id = ++last_;
   auto timer = std::make_unique<boost::asio::steady_timer>(context_, span);
   timer->async_wait([this, id, task = std::move(task)](const boost::system::error_code& error) {
--- a/source/host/duty_thread.hpp
+++ b/source/host/duty_thread.hpp
@@ -7,15 +7,15 @@
 #include <unordered_map>
 
 #include "host/ring.hpp"
-#include "seams/seams.hpp"
+#include "interfaces/interfaces.hpp"
 
 namespace mothwalk {
 
 class AsioTimers : public Timers {
  public:
   explicit AsioTimers(boost::asio::io_context& context) : context_(context) {}
-  Moment now() const override;
-  Id after(Span span, Task task) override;
+  TimePoint now() const override;
+  Id after(Duration span, Task task) override;
   void cancel(Id id) override;
 
  private:
@@ -66,6 +66,6 @@
   std::atomic<std::uint64_t> dropped_{0};
 };
 
-Moment steady_now();
+TimePoint steady_now();
 
 }  // namespace mothwalk
--- a/source/host/file_disk.cpp
+++ b/source/host/file_disk.cpp
@@ -16,20 +16,20 @@
   if (lock_ >= 0) ::close(lock_);
 }
 
-Result<Done> FileDisk::open() {
-  auto fault = [&](const std::string& what, const std::string& remedy) {
-    return Fault{FaultKind::conflict, "data_folder", what + " '" + folder_ + "': " + std::strerror(errno), remedy};
+Result<Success> FileDisk::open() {
+  auto error = [&](const std::string& what, const std::string& remedy) {
+    return Error{ErrorKind::conflict, "data_folder", what + " '" + folder_ + "': " + std::strerror(errno), remedy};
   };
   if (::mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST)
-    return fault("can't make", "give a folder whose parent exists and is writable");
+    return error("can't make", "give a folder whose parent exists and is writable");
   lock_ = ::open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) return fault("can't write in", "give a writable folder");
+  if (lock_ < 0) return error("can't write in", "give a writable folder");
   if (::flock(lock_, LOCK_EX | LOCK_NB) != 0)
-    return fault("another daemon uses", "stop that daemon, or give each its own folder");
+    return error("another daemon uses", "stop that daemon, or give each its own folder");
   // One that can't be read must never look like an empty folder.
-  if (!files_.open()) return fault("can't open the records in", "make the folder's files writable");
+  if (!files_.open()) return error("can't open the records in", "make the folder's files writable");
   thread_ = std::thread([this] { run(); });
-  return Done{};
+  return Success{};
 }
 
 void FileDisk::stop() {
--- a/source/host/file_disk.hpp
+++ b/source/host/file_disk.hpp
@@ -6,8 +6,8 @@
 #include <thread>
 
 #include "host/posix_volume.hpp"
+#include "interfaces/interfaces.hpp"
 #include "replication/log_files.hpp"
-#include "seams/seams.hpp"
 
 namespace mothwalk {
 
@@ -17,7 +17,7 @@
   FileDisk(std::string folder, std::function<void(Task)> execute)
       : folder_(std::move(folder)), execute_(std::move(execute)), volume_(folder_), files_(volume_) {}
   ~FileDisk() override;
-  Result<Done> open();
+  Result<Success> open();
   void stop();
   Result<Bytes> read_all() override { return files_.read_all(); }
   void order(DiskOrder order) override;
--- a/source/host/front.cpp
+++ b/source/host/front.cpp
@@ -9,7 +9,7 @@
 #include <boost/beast/http/status.hpp>
 
 #include "host/http_reader.hpp"
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 
 namespace mothwalk {
 
@@ -19,9 +19,9 @@
 namespace {
 constexpr std::size_t spare_sessions = 200;  // over the limit, in which callers are told to come back
 constexpr std::size_t input_bytes = 4096, long_input_bytes = 32768, kept_output_bytes = 16384;
-constexpr Span lingering = std::chrono::seconds(1);
+constexpr Duration lingering = std::chrono::seconds(1);
 
-bool for_lots(View, View target, const std::vector<Header>&) {
+bool for_lots(StringView, StringView target, const std::vector<Header>&) {
   return target == "/lots" || target.starts_with("/lots/") || target.starts_with("/lots?");
 }
 
@@ -32,7 +32,7 @@
   while (value /= 16);
   while (count > 0) out.push_back(digits[--count]);
 }
-View name_of(CloseCause cause) {
+StringView name_of(CloseCause cause) {
   switch (cause) {
     case CloseCause::caller_left:
       return "caller left";
@@ -73,7 +73,7 @@
 
  private:
   // What the entries write to; it outlives neither its request nor the session's connection.
-  class Caller : public CallerSide {
+  class Caller : public ResponseSink {
    public:
     Caller(std::shared_ptr<Session> session, std::uint64_t turn) : session_(std::move(session)), turn_(turn) {}
     void head(int status, const std::vector<Header>& headers) override {
@@ -90,7 +90,7 @@
       if (chunked_) out.append("Transfer-Encoding: chunked\r\n");
       out.append("\r\n");
     }
-    void piece(View piece) override {
+    void piece(StringView piece) override {
       if (!current() || piece.empty() || bodiless_) return;
       std::string& out = session_->output_;
       if (chunked_) {
@@ -139,7 +139,7 @@
       read();
   }
 
-  void set_deadline(Span span) { front_.deadlines_.set(number_, steady_now() + span); }
+  void set_deadline(Duration span) { front_.deadlines_.set(number_, steady_now() + span); }
 
   void read() {
     if (reading_ || closed_ || (input_.size() > 0 && filled_ == input_.size())) return;
@@ -165,7 +165,7 @@
   void parse() {
     boost::system::error_code error;
     const bool first = !reader_->got_some();
-    const std::size_t used = reader_->feed(View(input_.data(), filled_), error);
+    const std::size_t used = reader_->feed(StringView(input_.data(), filled_), error);
     std::copy(input_.begin() + static_cast<std::ptrdiff_t>(used), input_.begin() + static_cast<std::ptrdiff_t>(filled_),
               input_.begin());
     filled_ -= used;
@@ -174,7 +174,7 @@
       headed_ = true;
       if (over_) return busy("this daemon serves as many connections as it may");
       if (reader_->version != 11)
-        return fault(505, Fault{FaultKind::invalid, "version", "only HTTP/1.1 is served", "use HTTP/1.1"});
+        return reply_with_error(505, Error{ErrorKind::invalid, "version", "only HTTP/1.1 is served", "use HTTP/1.1"});
       const std::string* expectation = header_of(reader_->headers, "Expect");
       if (expectation != nullptr && same_name(*expectation, "100-continue") && !reader_->is_done()) {
         output_.append("HTTP/1.1 100 Continue\r\n\r\n");
@@ -193,15 +193,16 @@
 
   void failed(const boost::system::error_code& error) {
     if (error == http::error::header_limit)
-      return fault(431, Fault{FaultKind::too_large, "headers",
-                              "the headers are longer than " + std::to_string(limits_.header_bytes) + " bytes",
-                              "send fewer headers"});
+      return reply_with_error(431,
+                              Error{ErrorKind::too_large, "headers",
+                                    "the headers are longer than " + std::to_string(limits_.header_bytes) + " bytes",
+                                    "send fewer headers"});
     if (error == http::error::body_limit)
-      return fault(
-          413, Fault{FaultKind::too_large, "body",
+      return reply_with_error(
+          413, Error{ErrorKind::too_large, "body",
                      "the body is longer than " + std::to_string(limits_.body_bytes) + " bytes", "send a shorter one"});
-    fault(400, Fault{FaultKind::invalid, "request", "this is not an HTTP/1.1 request: " + error.message(),
-                     "send a well-formed request"});
+    reply_with_error(400, Error{ErrorKind::invalid, "request", "this is not an HTTP/1.1 request: " + error.message(),
+                                "send a well-formed request"});
   }
 
   void dispatch() {
@@ -286,22 +287,22 @@
     answered();
   }
 
-  void fault(int status, const Fault& fault) {
+  void reply_with_error(int status, const Error& error) {
     keep_ = false;
     head_request_ = false;
-    refuse(status, fault, false);
+    refuse(status, error, false);
   }
 
   void busy(const std::string& why) {
     keep_ = keep_ && reader_->is_done() && !over_;
     refuse(
         503,
-        Fault{FaultKind::refused, "request", why + "; nothing was done", "send it again after the time in Retry-After"},
+        Error{ErrorKind::refused, "request", why + "; nothing was done", "send it again after the time in Retry-After"},
         true);
   }
 
-  void refuse(int status, const Fault& fault, bool retry_after) {
-    json::value body = fault_to_json(fault);
+  void refuse(int status, const Error& error, bool retry_after) {
+    json::value body = error_to_json(error);
     body.as_object()["outcome"] = "refused";
     answering_ = true;
     whole(ControlReply{status, std::move(body), retry_after});
@@ -418,10 +419,10 @@
   *alive_ = false;
 }
 
-Result<Done> Front::listen(const Address& address, bool callers) {
+Result<Success> Front::listen(const Address& address, bool callers) {
   const auto endpoint = endpoint_of(address);
   const std::string field = callers ? "callers" : "control";
-  if (!endpoint) return Fault{FaultKind::invalid, field, "'" + address.text + "' is not an address", "give ip:port"};
+  if (!endpoint) return Error{ErrorKind::invalid, field, "'" + address.text + "' is not an address", "give ip:port"};
   auto listener = std::make_shared<Listener>(Listener{tcp::acceptor(context_), callers});
   boost::system::error_code error;
   listener->acceptor.open(endpoint->protocol(), error);
@@ -429,11 +430,11 @@
   if (!error) listener->acceptor.bind(*endpoint, error);
   if (!error) listener->acceptor.listen(boost::asio::socket_base::max_listen_connections, error);
   if (error)
-    return Fault{FaultKind::conflict, field, "can't listen on " + address.text + ": " + error.message(),
+    return Error{ErrorKind::conflict, field, "can't listen on " + address.text + ": " + error.message(),
                  "give an address of this machine with a free port"};
   listeners_.push_back(listener);
   accept(listener);
-  return Done{};
+  return Success{};
 }
 
 void Front::accept(std::shared_ptr<Listener> listener) {
--- a/source/host/front.hpp
+++ b/source/host/front.hpp
@@ -22,12 +22,12 @@
   // Requests for control and lots are handed to `control`; its answer may come from any thread.
   using ToControl = std::function<bool(ControlRequest, ControlAnswer)>;
   // Which requests of the callers' side are not live ones, but for control.
-  using ToControlSide = std::function<bool(View method, View target, const std::vector<Header>& headers)>;
+  using ToControlSide = std::function<bool(StringView method, StringView target, const std::vector<Header>& headers)>;
   Front(boost::asio::io_context& context, Router& router, ToControl control, std::size_t most_sessions,
         ToControlSide to_control_side = {});
   ~Front();
   // A side that is not the callers' is closed to everything but control.
-  Result<Done> listen(const Address& address, bool callers);
+  Result<Success> listen(const Address& address, bool callers);
   // Takes no new connection any more, lets idle ones go and refuses what still comes over the others.
   void close();
   // Connections with a request that is read or answered.
--- a/source/host/http_client.cpp
+++ b/source/host/http_client.cpp
@@ -5,16 +5,16 @@
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
 
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 
 namespace mothwalk {
 
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-Result<HttpAnswer> http_call(const Address& to, View method, View target, View body, Span limit) {
+Result<HttpAnswer> http_call(const Address& to, StringView method, StringView target, StringView body, Duration limit) {
   const auto endpoint = endpoint_of(to);
-  if (!endpoint) return Fault{FaultKind::invalid, "address", "'" + to.text + "' is not an address", "give ip:port"};
+  if (!endpoint) return Error{ErrorKind::invalid, "address", "'" + to.text + "' is not an address", "give ip:port"};
   boost::asio::io_context context(1);
   beast::tcp_stream stream(context);
   beast::flat_buffer buffer;
@@ -43,7 +43,7 @@
   context.run();
   if (!outcome || *outcome) {
     const std::string what = outcome ? outcome->message() : "nothing happened";
-    return Fault{sent ? FaultKind::unknown : FaultKind::lost, "address", "the call to " + to.text + " failed: " + what,
+    return Error{sent ? ErrorKind::unknown : ErrorKind::lost, "address", "the call to " + to.text + " failed: " + what,
                  "check that the daemon runs, or name another with --control"};
   }
   HttpAnswer answer;
--- a/source/host/http_client.hpp
+++ b/source/host/http_client.hpp
@@ -1,6 +1,6 @@
 // A blocking HTTP/1.1 client with a time limit, for the operator's command line and the stand-ins.
 #pragma once
-#include "seams/seams.hpp"
+#include "interfaces/interfaces.hpp"
 
 namespace mothwalk {
 
@@ -10,6 +10,6 @@
   Bytes body;
 };
 
-Result<HttpAnswer> http_call(const Address& to, View method, View target, View body, Span limit);
+Result<HttpAnswer> http_call(const Address& to, StringView method, StringView target, StringView body, Duration limit);
 
 }  // namespace mothwalk
--- a/source/host/logs.cpp
+++ b/source/host/logs.cpp
@@ -18,7 +18,7 @@
 namespace {
 std::atomic<int> threshold{2};
 }
-void start(View level, View file) {
+void start(StringView level, StringView file) {
   threshold = level == "quiet" ? 2 : level == "warnings" ? 1 : 0;
   el::Configurations settings;
   settings.setToDefault();
@@ -28,10 +28,10 @@
   if (!file.empty()) settings.setGlobally(el::ConfigurationType::Filename, std::string(file));
   el::Loggers::reconfigureLogger("default", settings);
 }
-void note(View part, View sentence) {
+void note(StringView part, StringView sentence) {
   if (threshold <= 0) LOG(INFO) << "[" << part << "] " << sentence;
 }
-void warn(View part, View sentence) {
+void warn(StringView part, StringView sentence) {
   if (threshold <= 1) LOG(WARNING) << "[" << part << "] " << sentence;
 }
 }  // namespace mothwalk::logs
--- a/source/host/logs.hpp
+++ b/source/host/logs.hpp
@@ -3,7 +3,7 @@
 #include "mothwalk.hpp"
 
 namespace mothwalk::logs {
-void start(View level, View file);
-void note(View part, View sentence);
-void warn(View part, View sentence);
+void start(StringView level, StringView file);
+void note(StringView part, StringView sentence);
+void warn(StringView part, StringView sentence);
 }  // namespace mothwalk::logs
--- a/source/host/main.cpp
+++ b/source/host/main.cpp
@@ -7,19 +7,19 @@
 
 int main(int count, char** words) {
   using namespace mothwalk;
-  auto complain = [](const Fault& fault) {
-    std::cerr << "mothwalk-daemon: " << fault.field << ": " << fault.message << "; " << fault.remedy << ".\n";
+  auto complain = [](const Error& error) {
+    std::cerr << "mothwalk-daemon: " << error.field << ": " << error.message << "; " << error.remedy << ".\n";
   };
-  std::unique_ptr<Place> place = count == 1 ? place_of_process() : nullptr;
+  std::unique_ptr<PlatformAdapter> place = count == 1 ? platform_adapter_of_process() : nullptr;
   auto line = place ? Result<CommandLine>(CommandLine{}) : read_command_line(count, words);
-  if (auto fault = fault_of(line)) {
-    complain(*fault);
+  if (auto error = error_of(line)) {
+    complain(*error);
     return 2;
   }
   CommandLine& given = std::get<CommandLine>(line);
   if (place) {
     auto told = place->settings();
-    if (auto fault = fault_of(told)) return complain(*fault), 2;
+    if (auto error = error_of(told)) return complain(*error), 2;
     given.settings = std::move(std::get<Settings>(told));
   }
   if (given.help) return std::cout << daemon_help(), 0;
@@ -29,9 +29,9 @@
   logs::start(given.settings.log_level, given.settings.log_file);
   Daemon daemon(given.settings, MOTHWALK_VERSION, std::move(place));
   auto opened = daemon.open();
-  if (auto fault = fault_of(opened)) {
-    complain(*fault);
-    return fault->field == "data_folder" || fault->field == "record_file" ? 3 : 4;
+  if (auto error = error_of(opened)) {
+    complain(*error);
+    return error->field == "data_folder" || error->field == "record_file" ? 3 : 4;
   }
   return daemon.run();
 }
--- a/source/host/posix_volume.cpp
+++ b/source/host/posix_volume.cpp
@@ -41,16 +41,16 @@
 }
 
 Result<Bytes> PosixVolume::read(const std::string& file) {
-  const Fault fault{FaultKind::damaged, "data_folder", "the records can't be read",
+  const Error error{ErrorKind::damaged, "data_folder", "the records can't be read",
                     "check the disk, or empty the folder so that this machine joins as a new holder"};
   const int from = descriptor(file);
-  if (from < 0) return fault;
+  if (from < 0) return error;
   Bytes bytes, part(read_size, '\0');
   while (true) {
     const ssize_t count = ::pread(from, part.data(), part.size(), static_cast<off_t>(bytes.size()));
     if (count == 0) return bytes;
     if (count < 0 && errno == EINTR) continue;
-    if (count < 0) return fault;
+    if (count < 0) return error;
     bytes.append(part, 0, static_cast<std::size_t>(count));
   }
 }
@@ -73,7 +73,7 @@
   return ::unlink(path(file).c_str()) == 0;
 }
 
-bool PosixVolume::write(const std::string& file, View bytes) {
+bool PosixVolume::write(const std::string& file, StringView bytes) {
   const int to = descriptor(file);
   if (to < 0) return false;
   while (!bytes.empty()) {
--- a/source/host/posix_volume.hpp
+++ b/source/host/posix_volume.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <map>
 
-#include "seams/disk.hpp"
+#include "interfaces/disk.hpp"
 
 namespace mothwalk {
 
@@ -17,7 +17,7 @@
   Result<Bytes> read(const std::string& file) override;
   bool create(const std::string& file) override;
   bool remove(const std::string& file) override;
-  bool write(const std::string& file, View bytes) override;
+  bool write(const std::string& file, StringView bytes) override;
   bool cut(const std::string& file, std::size_t size) override;
   bool sync(const std::string& file) override;
   bool rename(const std::string& from, const std::string& to) override;
--- a/source/host/settings.cpp
+++ b/source/host/settings.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 
 namespace mothwalk {
 
@@ -38,11 +38,11 @@
     {"help", "", "  prints this and ends"},
 };
 
-Fault wrong(std::string field, std::string message, std::string remedy) {
-  return Fault{FaultKind::invalid, std::move(field), std::move(message), std::move(remedy)};
+Error wrong(std::string field, std::string message, std::string remedy) {
+  return Error{ErrorKind::invalid, std::move(field), std::move(message), std::move(remedy)};
 }
 
-std::optional<Fault> check(const Settings& settings) {
+std::optional<Error> check(const Settings& settings) {
   for (auto [name, address] : {std::pair<const char*, const Address*>{"address", &settings.address},
                                {"callers", &settings.callers},
                                {"control", &settings.control}})
@@ -85,7 +85,7 @@
 Result<CommandLine> read_command_line(int count, char** words) {
   std::vector<option> options;
   for (const auto& flag : flags) {
-    const View name = flag.name;
+    const StringView name = flag.name;
     options.push_back(option{
         flag.name, name == "check-settings" || name == "version" || name == "help" ? no_argument : required_argument,
         nullptr, 0});
@@ -100,7 +100,7 @@
   for (int found = 0; (found = getopt_long(count, words, "", options.data(), &index)) != -1;) {
     if (found != 0)
       return wrong("flags", std::string("'") + words[optind - 1] + "' is not a flag, or lacks its value", "see --help");
-    const View name = flags[index].name;
+    const StringView name = flags[index].name;
     const std::string value = optarg == nullptr ? "" : optarg;
     if (name == "help")
       line.help = true;
@@ -135,24 +135,24 @@
     if (!stream) return wrong("settings", "the file '" + file + "' can't be read", "give a readable settings file");
     const std::string text((std::istreambuf_iterator<char>(stream)), std::istreambuf_iterator<char>());
     auto parsed = parse_json(text);
-    if (auto fault = fault_of(parsed)) return *fault;
+    if (auto error = error_of(parsed)) return *error;
     document = std::get<json::value>(parsed);
     if (!document.is_object())
       return wrong("settings", "the file is not a JSON object", "see the operators' page for an example");
   }
   for (const auto& each : overrides) document.as_object()[each.key()] = each.value();
-  if (auto fault = JsonReader::read(document, line.settings, "")) return *fault;
-  if (auto fault = check(line.settings)) return *fault;
+  if (auto error = JsonReader::read(document, line.settings, "")) return *error;
+  if (auto error = check(line.settings)) return *error;
   return line;
 }
 
 Result<std::vector<Address>> seeds_read_again(const Settings& running, const Result<Settings>& again) {
-  if (auto fault = fault_of(again)) return *fault;
+  if (auto error = error_of(again)) return *error;
   const Settings& settings = std::get<Settings>(again);
   if (settings.address != running.address || settings.zone != running.zone)
-    return Fault{FaultKind::invalid, "settings", "they describe another daemon than this one",
+    return Error{ErrorKind::invalid, "settings", "they describe another daemon than this one",
                  "start this daemon again to move it"};
-  if (settings.seeds.empty()) return Fault{FaultKind::invalid, "seeds", "no seed is given", "name up to three daemons"};
+  if (settings.seeds.empty()) return Error{ErrorKind::invalid, "seeds", "no seed is given", "name up to three daemons"};
   return settings.seeds;
 }
 
--- a/source/host/settings.hpp
+++ b/source/host/settings.hpp
@@ -11,7 +11,7 @@
   std::string data_folder;          // empty: this daemon holds no state
   std::string log_level = "notes";  // notes, warnings, quiet
   std::string log_file;             // empty: standard output
-  Span drain = std::chrono::seconds(20);
+  Duration drain = std::chrono::seconds(20);
   std::string name;   // of the machine, as operators know it; may be empty
   std::string keeps;  // what the data folder holds: empty for control state and lots, or "control", "lots"
   std::optional<bool>
--- a/source/host/tcp_wire.cpp
+++ b/source/host/tcp_transport.cpp
@@ -1,5 +1,5 @@
 // Linking, framing and delivery.
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 
 #include <netinet/tcp.h>
 
@@ -13,7 +13,7 @@
 constexpr std::size_t longest_queue = 96u << 20;
 }  // namespace
 
-std::optional<std::size_t> frame_length(View head) {
+std::optional<std::size_t> frame_length(StringView head) {
   std::size_t length = 0;
   for (const char byte : head) length = length << 8 | static_cast<unsigned char>(byte);
   if (head.size() != frame_head_bytes || length == 0 || length > longest_frame) return std::nullopt;
@@ -33,7 +33,7 @@
   return tcp::endpoint(ip, static_cast<unsigned short>(number));
 }
 
-struct TcpWire::Link {
+struct TcpTransport::Link {
   explicit Link(asio::io_context& context, Address address) : to(std::move(address)), socket(context), timer(context) {}
   Address to;
   tcp::socket socket;
@@ -41,36 +41,36 @@
   std::deque<Bytes> queue;
   std::size_t queued = 0;
   bool connected = false, connecting = false, writing = false, dropped = false;
-  Moment not_before;
+  TimePoint not_before;
   Bytes in_flight;
 };
 
-struct TcpWire::Incoming {
+struct TcpTransport::Incoming {
   explicit Incoming(tcp::socket given) : socket(std::move(given)) {}
   tcp::socket socket;
   std::array<char, frame_head_bytes> head{};
   Bytes body;
 };
 
-TcpWire::TcpWire(Address self, std::function<void(View)> note, asio::io_context* shared)
+TcpTransport::TcpTransport(Address self, std::function<void(StringView)> note, asio::io_context* shared)
     : self_(std::move(self)), note_(std::move(note)), thread_("wire", shared), acceptor_(thread_.context()) {}
 
-Result<Done> TcpWire::listen() {
+Result<Success> TcpTransport::listen() {
   const auto endpoint = endpoint_of(self_);
   boost::system::error_code error;
-  if (!endpoint) return Fault{FaultKind::invalid, "address", "'" + self_.text + "' is not an address", "give ip:port"};
+  if (!endpoint) return Error{ErrorKind::invalid, "address", "'" + self_.text + "' is not an address", "give ip:port"};
   acceptor_.open(endpoint->protocol(), error);
   if (!error) acceptor_.set_option(tcp::acceptor::reuse_address(true), error);
   if (!error) acceptor_.bind(*endpoint, error);
   if (!error) acceptor_.listen(asio::socket_base::max_listen_connections, error);
   if (error)
-    return Fault{FaultKind::conflict, "address", "can't listen on " + self_.text + ": " + error.message(),
+    return Error{ErrorKind::conflict, "address", "can't listen on " + self_.text + ": " + error.message(),
                  "give an address of this machine with a free port"};
   accept();
-  return Done{};
+  return Success{};
 }
 
-void TcpWire::accept() {
+void TcpTransport::accept() {
   acceptor_.async_accept([this](const boost::system::error_code& error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (!error) {
@@ -82,12 +82,12 @@
   });
 }
 
-void TcpWire::read(std::shared_ptr<Incoming> incoming) {
+void TcpTransport::read(std::shared_ptr<Incoming> incoming) {
   asio::async_read(
       incoming->socket, asio::buffer(incoming->head),
       [this, incoming](const boost::system::error_code& error, std::size_t) {
         if (error) return;
-        const auto claimed = frame_length(View(incoming->head.data(), incoming->head.size()));
+        const auto claimed = frame_length(StringView(incoming->head.data(), incoming->head.size()));
         if (!claimed) {
           ++counts_.foreign;
           return note_("A peer sent a frame of a foreign form; the stream is closed.");
@@ -121,12 +121,12 @@
       });
 }
 
-void TcpWire::deliver(Envelope envelope) {
+void TcpTransport::deliver(Envelope envelope) {
   auto taker = takers_.find(envelope.slice);
   if (taker != takers_.end()) taker->second(std::move(envelope));
 }
 
-void TcpWire::send(const Address& to, Envelope envelope) {
+void TcpTransport::send(const Address& to, Envelope envelope) {
   if (to == self_) return deliver(std::move(envelope));
   const Bytes body = to_cbor(envelope);
   if (body.size() > longest_frame) return note_("A message is longer than a frame may be; it is dropped.");
@@ -137,9 +137,9 @@
   thread_.offer([this, to, frame = std::move(frame)]() mutable { push(to, std::move(frame)); });
 }
 
-void TcpWire::push(const Address& to, Bytes frame) {
+void TcpTransport::push(const Address& to, Bytes frame) {
   auto& link = links_[to];
-  const Moment now = steady_now();
+  const TimePoint now = steady_now();
   if (!link) link = std::make_shared<Link>(thread_.context(), to);
   if (link->dropped) {
     if (now < link->not_before) return;
@@ -156,7 +156,7 @@
     connect(link);
 }
 
-void TcpWire::connect(std::shared_ptr<Link> link) {
+void TcpTransport::connect(std::shared_ptr<Link> link) {
   const auto endpoint = endpoint_of(link->to);
   if (!endpoint) return drop(link);
   link->connecting = true;
@@ -182,7 +182,7 @@
   });
 }
 
-void TcpWire::write(std::shared_ptr<Link> link) {
+void TcpTransport::write(std::shared_ptr<Link> link) {
   if (link->writing || link->queue.empty()) return;
   link->writing = true;
   link->in_flight.clear();
@@ -200,7 +200,7 @@
                     });
 }
 
-void TcpWire::drop(std::shared_ptr<Link> link) {
+void TcpTransport::drop(std::shared_ptr<Link> link) {
   if (link->dropped) return;
   link->dropped = true;
   link->not_before = steady_now() + std::chrono::milliseconds(50);
--- a/source/host/tcp_wire.hpp
+++ b/source/host/tcp_transport.hpp
@@ -12,12 +12,12 @@
   std::atomic<std::uint64_t> frames_out{0}, bytes_out{0}, frames_in{0}, bytes_in{0}, foreign{0};
 };
 
-class TcpWire : public Wire {
+class TcpTransport : public Transport {
  public:
-  TcpWire(Address self, std::function<void(View)> note, boost::asio::io_context* shared = nullptr);
+  TcpTransport(Address self, std::function<void(StringView)> note, boost::asio::io_context* shared = nullptr);
   // Every slice's envelopes go to its duty's thread; set before start.
   void route(const std::string& slice, std::function<void(Envelope)> taker) { takers_[slice] = std::move(taker); }
-  Result<Done> listen();
+  Result<Success> listen();
   void start() { thread_.start(); }
   void stop() { thread_.stop(); }
   void send(const Address& to, Envelope envelope) override;
@@ -35,7 +35,7 @@
   void drop(std::shared_ptr<Link> link);
 
   Address self_;
-  std::function<void(View)> note_;
+  std::function<void(StringView)> note_;
   DutyThread thread_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::map<std::string, std::function<void(Envelope)>> takers_;
@@ -46,7 +46,7 @@
 // A frame is its length in four bytes, the highest first, and an envelope in CBOR. No length is told where the head
 // claims one that no frame has.
 inline constexpr std::size_t frame_head_bytes = 4;
-std::optional<std::size_t> frame_length(View head);
+std::optional<std::size_t> frame_length(StringView head);
 
 std::optional<boost::asio::ip::tcp::endpoint> endpoint_of(const Address& address);
 
--- a/source/seams/disk.hpp
+++ b/source/interfaces/disk.hpp
@@ -43,7 +43,7 @@
   virtual Result<Bytes> read(const std::string& file) = 0;
   virtual bool create(const std::string& file) = 0;  // a new empty file, also where there is one of the name
   virtual bool remove(const std::string& file) = 0;
-  virtual bool write(const std::string& file, View bytes) = 0;  // at the end
+  virtual bool write(const std::string& file, StringView bytes) = 0;  // at the end
   virtual bool cut(const std::string& file, std::size_t size) = 0;
   virtual bool sync(const std::string& file) = 0;
   virtual bool rename(const std::string& from, const std::string& to) = 0;
--- a/source/seams/seams.hpp
+++ b/source/interfaces/interfaces.hpp
@@ -1,9 +1,9 @@
-// The seams between duties and the world: Timers (steady time), Wire (envelopes to peers), Disk (one append-only
-// file), Exchange (HTTP attempts to runners) and RandomSource (seeded numbers). A duty reaches nothing else, so the
-// daemon and the simulator run the same duty objects.
+// The interfaces between duties and the world: Timers (steady time), Transport (envelopes to peers), Disk (one
+// append-only file), RunnerClient (HTTP attempts to runners) and RandomSource (seeded numbers). A duty reaches nothing
+// else, so the daemon and the simulator run the same duty objects.
 #pragma once
 #include "coding/fields.hpp"
-#include "seams/disk.hpp"
+#include "interfaces/disk.hpp"
 
 namespace mothwalk {
 
@@ -13,8 +13,8 @@
  public:
   using Id = std::uint64_t;
   virtual ~Timers() = default;
-  virtual Moment now() const = 0;
-  virtual Id after(Span span, Task task) = 0;
+  virtual TimePoint now() const = 0;
+  virtual Id after(Duration span, Task task) = 0;
   virtual void cancel(Id id) = 0;
 };
 
@@ -33,9 +33,9 @@
   MOTHWALK_FIELDS(from, incarnation, slice, sender, kind, call, reply, body, protocol)
 };
 
-class Wire {
+class Transport {
  public:
-  virtual ~Wire() = default;
+  virtual ~Transport() = default;
   virtual void send(const Address& to, Envelope envelope) = 0;
 };
 
@@ -56,34 +56,34 @@
   std::string method, target;
   std::vector<Header> headers;
   std::shared_ptr<const Bytes> body;
-  Span connecting{}, first_piece{}, between_pieces{};
+  Duration connecting{}, first_piece{}, between_pieces{};
   std::string runner;             // a kept connection is used again for the same runner alone
   bool repeatable = false;        // may go over a kept connection that could be closing, and again if it was
   bool keep_connection = true;    // after a whole answer, for the next request
   std::uint32_t connections = 0;  // kept and in use, that this runner takes from this daemon; 0: no bound
 };
 
-enum class AttemptEnd { whole, not_sent, broken, late };  // not_sent: no byte can have reached the runner
+enum class AttemptOutcome { whole, not_sent, broken, late };  // not_sent: no byte can have reached the runner
 
-constexpr View name_of(AttemptEnd end) {
-  constexpr View names[] = {"whole", "not_sent", "broken", "late"};
+constexpr StringView name_of(AttemptOutcome end) {
+  constexpr StringView names[] = {"whole", "not_sent", "broken", "late"};
   return names[static_cast<std::size_t>(end)];
 }
 
-class AttemptWatcher {
+class AttemptObserver {
  public:
-  virtual ~AttemptWatcher() = default;
+  virtual ~AttemptObserver() = default;
   virtual void on_head(int status, const std::vector<Header>& headers) = 0;
-  virtual void on_piece(View piece) = 0;
+  virtual void on_chunk(StringView piece) = 0;
   virtual void on_pause() {}  // all that came for now was given
-  virtual void on_end(AttemptEnd end) = 0;
+  virtual void on_end(AttemptOutcome end) = 0;
 };
 
-class Exchange {
+class RunnerClient {
  public:
   using Id = std::uint64_t;
-  virtual ~Exchange() = default;
-  virtual Id start(const AttemptRequest& request, std::shared_ptr<AttemptWatcher> watcher) = 0;
+  virtual ~RunnerClient() = default;
+  virtual Id start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> watcher) = 0;
   virtual void cancel(Id id) = 0;  // no call reaches the watcher afterwards
   // Ends the idle connections to a runner; one that keeps none has nothing to do.
   virtual void close_idle(const Address& /*to*/, const std::string& /*runner*/) {}
--- a/source/listing/listing.cpp
+++ b/source/listing/listing.cpp
@@ -1,13 +1,13 @@
 // Reading pages, gathering them, and telling what changed.
 #include "listing/listing.hpp"
 
-#include "news/news.hpp"
+#include "gossip/configuration_gossip.hpp"
 
 namespace mothwalk {
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span page_span = milliseconds(600);
+constexpr Duration page_span = milliseconds(600);
 constexpr std::size_t most_pages = 200;  // a list whose pages lead in a circle ends here
 constexpr std::size_t longest_page = 4u << 20;
 
@@ -21,38 +21,40 @@
     if (before.address != runner.address || before.kind != runner.kind || before.zone != runner.zone ||
         before.slots != runner.slots || before.leaving != runner.leaving)
       return false;
-    if ((before.cold > Span{}) != (runner.cold > Span{}) || runner.cold > before.cold) return false;
+    if ((before.cold > Duration{}) != (runner.cold > Duration{}) || runner.cold > before.cold) return false;
   }
   return true;
 }
 }  // namespace
 
-class RunnerList::Watcher : public AttemptWatcher {
+class RunnerList::Watcher : public AttemptObserver {
  public:
   explicit Watcher(std::function<void(std::optional<ListBody>)> then) : then_(std::move(then)) {}
   void on_head(int status, const std::vector<Header>&) override { body_.status = status; }
-  void on_piece(View piece) override {
+  void on_chunk(StringView piece) override {
     if (body_.body.size() + piece.size() <= longest_page)
       body_.body.append(piece);
     else
       body_.status = 0;
   }
-  void on_end(AttemptEnd end) override { end == AttemptEnd::whole ? then_(std::move(body_)) : then_(std::nullopt); }
+  void on_end(AttemptOutcome end) override {
+    end == AttemptOutcome::whole ? then_(std::move(body_)) : then_(std::nullopt);
+  }
 
  private:
   std::function<void(std::optional<ListBody>)> then_;
   ListBody body_;
 };
 
-RunnerList::RunnerList(Messenger& messenger, SharedState& shared_state, Exchange& exchange, RandomSource& random,
+RunnerList::RunnerList(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
                        ListSource& source)
-    : messenger_(messenger), shared_state_(shared_state), exchange_(exchange), random_(random), source_(source) {
-  messenger_.on_ask<FetchListPage>([this](const Address&, FetchListPage page, Answer<ListBody> answer) {
+    : messenger_(messenger), shared_state_(shared_state), runner_client_(exchange), random_(random), source_(source) {
+  messenger_.on_request<FetchListPage>([this](const Address&, FetchListPage page, ReplyCallback<ListBody> answer) {
     fetch(page.target, [answer](std::optional<ListBody> body) {
       if (body)
         answer(std::move(*body));
       else
-        answer(Fault{FaultKind::lost, "list", "the list can't be read from here either", "ask another daemon"});
+        answer(Error{ErrorKind::lost, "list", "the list can't be read from here either", "ask another daemon"});
     });
   });
 }
@@ -77,7 +79,7 @@
     gathered_ = RunnerListing{};
     read(std::nullopt);
   }
-  messenger_.timers().after(epoch_.value > 0 ? source_.period() : Span(milliseconds(200)), [this] { tick(); });
+  messenger_.timers().after(epoch_.value > 0 ? source_.period() : Duration(milliseconds(200)), [this] { tick(); });
 }
 
 void RunnerList::fetch(const std::string& target, std::function<void(std::optional<ListBody>)> then) {
@@ -89,7 +91,7 @@
   request.body = std::make_shared<const Bytes>();
   request.connecting = request.first_piece = request.between_pieces = page_span;
   ++reads_;
-  exchange_.start(request, std::make_shared<Watcher>(std::move(then)));
+  runner_client_.start(request, std::make_shared<Watcher>(std::move(then)));
 }
 
 void RunnerList::read(std::optional<std::string> next) {
@@ -104,13 +106,13 @@
   if (others.empty()) through_others_ = false;
   if (!through_others_) return fetch(target, [this](std::optional<ListBody> body) { take_page(std::move(body)); });
   ++reads_;
-  messenger_.ask(others[random_.below(others.size())], FetchListPage{target}, page_span + milliseconds(200),
-                 [this](Result<ListBody> result) {
-                   if (auto* body = std::get_if<ListBody>(&result))
-                     take_page(std::move(*body));
-                   else
-                     failed();
-                 });
+  messenger_.request(others[random_.below(others.size())], FetchListPage{target}, page_span + milliseconds(200),
+                     [this](Result<ListBody> result) {
+                       if (auto* body = std::get_if<ListBody>(&result))
+                         take_page(std::move(*body));
+                       else
+                         failed();
+                     });
 }
 
 void RunnerList::failed() {
@@ -121,7 +123,7 @@
 void RunnerList::take_page(std::optional<ListBody> body) {
   if (!body || body->status != 200) return failed();
   auto page = source_.read(body->body);
-  if (fault_of(page) || ++pages_ > most_pages) return failed();
+  if (error_of(page) || ++pages_ > most_pages) return failed();
   auto& read_page = std::get<ListPage>(page);
   gathered_.runners.merge(read_page.runners);
   if (read_page.next) return read(std::move(read_page.next));
@@ -135,9 +137,9 @@
   auto slot = owned->slots.find(slot_of(listing_key));
   if (slot == owned->slots.end() || slot->second != epoch_ || (told_ && same_listing(*told_, gathered_))) return;
   told_ = gathered_;
-  messenger_.tell(
-      messenger_.self(),
-      Spread{{NewsItem{std::string(listing_key), Stamp{epoch_, Version{++version_}}, false, to_cbor(gathered_)}}});
+  messenger_.send(messenger_.self(),
+                  PushUpdates{{ConfigurationUpdate{std::string(listing_key), Stamp{epoch_, Version{++version_}}, false,
+                                                   to_cbor(gathered_)}}});
 }
 
 }  // namespace mothwalk
--- a/source/listing/listing.hpp
+++ b/source/listing/listing.hpp
@@ -17,8 +17,8 @@
   virtual ~ListSource() = default;
   virtual Address address() const = 0;
   virtual std::string target(const std::optional<std::string>& next) const = 0;
-  virtual Result<ListPage> read(View body) const = 0;
-  virtual Span period() const = 0;  // between two readings
+  virtual Result<ListPage> read(StringView body) const = 0;
+  virtual Duration period() const = 0;  // between two readings
 };
 
 struct ListBody {
@@ -28,7 +28,7 @@
 };
 // Asks another daemon to read a page.
 struct FetchListPage {
-  static constexpr View kind = "listing.fetch";
+  static constexpr StringView kind = "listing.fetch";
   using Reply = ListBody;
   std::string target;
   MOTHWALK_FIELDS(target)
@@ -36,7 +36,7 @@
 
 class RunnerList {
  public:
-  RunnerList(Messenger& messenger, SharedState& shared_state, Exchange& exchange, RandomSource& random,
+  RunnerList(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
              ListSource& source);
   void start();
 
@@ -51,7 +51,7 @@
 
   Messenger& messenger_;
   SharedState& shared_state_;
-  Exchange& exchange_;
+  RunnerClient& runner_client_;
   RandomSource& random_;
   ListSource& source_;
   Epoch epoch_;  // under which this daemon reads; zero while it does not
