--- a/source/lots/placing.cpp
+++ b/source/lots/item_placer.cpp
@@ -1,5 +1,5 @@
 // Fetching, sending and reporting of items.
-#include "lots/placing.hpp"
+#include "lots/item_placer.hpp"
 
 #include <algorithm>
 
@@ -9,23 +9,24 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span tick_span = milliseconds(100);
-constexpr Span start_lease = milliseconds(1000);
-constexpr Span fetch_limit = milliseconds(1500);
-constexpr Span work_gap = milliseconds(20);    // so that items that end together are replaced by one fetch
-constexpr Span report_gap = milliseconds(15);  // and reported by one message
-constexpr Span report_limit = milliseconds(1000);
+constexpr Duration tick_span = milliseconds(100);
+constexpr Duration start_lease = milliseconds(1000);
+constexpr Duration fetch_limit = milliseconds(1500);
+constexpr Duration work_gap = milliseconds(20);    // so that items that end together are replaced by one fetch
+constexpr Duration report_gap = milliseconds(15);  // and reported by one message
+constexpr Duration report_limit = milliseconds(1000);
 constexpr std::size_t most_reports = 64;
 constexpr std::size_t report_bytes = 1u << 20;
-constexpr Span source_span = milliseconds(1500);
-constexpr Span leave_span = milliseconds(2000);
-constexpr Span account_span = milliseconds(1500);  // totals told so long after a change are made of reports after it
+constexpr Duration source_span = milliseconds(1500);
+constexpr Duration leave_span = milliseconds(2000);
+constexpr Duration account_span =
+    milliseconds(1500);  // totals told so long after a change are made of reports after it
 constexpr std::uint64_t load_ticks = 10;
 constexpr std::size_t longest_body = 4u << 20;
-constexpr Span first_event_limit = milliseconds(5000),
-               next_event_limit = milliseconds(3000);  // silence; what came is kept
+constexpr Duration first_event_limit = milliseconds(5000),
+                   next_event_limit = milliseconds(3000);  // silence; what came is kept
 constexpr double cold_share = 0.35, warm_share = 1.2;  // of what a cold runner bears; live requests may take the rest
-constexpr Span run_budget = milliseconds(30000);
+constexpr Duration run_budget = milliseconds(30000);
 
 bool leads(const Lane& lane, const KindId& kind) {
   for (const auto& share : lane.kinds())
@@ -35,27 +36,27 @@
 }  // namespace
 
 // The answer is taken as it is.
-class Placing::Watcher : public AttemptWatcher {
+class ItemPlacer::Watcher : public AttemptObserver {
  public:
-  Watcher(Placing& placing, std::uint64_t attempt, std::vector<std::uint32_t> refusals)
+  Watcher(ItemPlacer& placing, std::uint64_t attempt, std::vector<std::uint32_t> refusals)
       : placing_(placing), attempt_(attempt), refusals_(std::move(refusals)) {}
   void on_head(int status, const std::vector<Header>&) override { status_ = status; }
-  void on_piece(View piece) override {
+  void on_chunk(StringView piece) override {
     if (body_.size() + piece.size() <= longest_body)
       body_.append(piece);
     else
       too_long_ = true;
   }
-  void on_end(AttemptEnd end) override {
-    if (end == AttemptEnd::not_sent) return placing_.ended(attempt_, {"not_run", 0, {}, {}});
-    if (end != AttemptEnd::whole || too_long_) return placing_.ended(attempt_, {"lost", 0, {}, {}});
+  void on_end(AttemptOutcome end) override {
+    if (end == AttemptOutcome::not_sent) return placing_.ended(attempt_, {"not_run", 0, {}, {}});
+    if (end != AttemptOutcome::whole || too_long_) return placing_.ended(attempt_, {"lost", 0, {}, {}});
     if (std::find(refusals_.begin(), refusals_.end(), static_cast<std::uint32_t>(status_)) != refusals_.end())
       return placing_.ended(attempt_, {"not_run", status_, {}, {}});
     placing_.ended(attempt_, {"answer", status_, std::move(body_), {}});
   }
 
  private:
-  Placing& placing_;
+  ItemPlacer& placing_;
   std::uint64_t attempt_;
   std::vector<std::uint32_t> refusals_;
   int status_ = 0;
@@ -64,9 +65,9 @@
 };
 
 // The answer is a series of events: their data is the text, and only a whole answer ends it.
-class Placing::BatchWatcher : public AttemptWatcher {
+class ItemPlacer::BatchWatcher : public AttemptObserver {
  public:
-  BatchWatcher(Placing& placing, std::uint64_t attempt, RequestFacts facts, StreamPart part)
+  BatchWatcher(ItemPlacer& placing, std::uint64_t attempt, RequestInfo facts, StreamPart part)
       : placing_(placing),
         attempt_(attempt),
         facts_(std::move(facts)),
@@ -85,7 +86,7 @@
     if (damaged_) return placing_.leave(attempt_, "damaged", status);
     if (good()) part_.version = answer_.version;
   }
-  void on_piece(View piece) override {
+  void on_chunk(StringView piece) override {
     if (!good() || damaged_) return;
     Bytes events;
     const bool sound = reader_.take(piece, events);
@@ -95,11 +96,11 @@
     damaged_ = !sound || part_.text.size() > longest_body;
     if (damaged_) placing_.leave(attempt_, "damaged", status_);
   }
-  void on_end(AttemptEnd end) override {
-    if (end == AttemptEnd::not_sent) return give("not_run");
+  void on_end(AttemptOutcome end) override {
+    if (end == AttemptOutcome::not_sent) return give("not_run");
     if (status_ == 0 || answer_.foreign) return give("lost");
     if (answer_.not_run || answer_.other_instance) return give("not_run");
-    if (end != AttemptEnd::whole) return give("lost");
+    if (end != AttemptOutcome::whole) return give("lost");
     if (status_ == 500) return give("failed");
     if (status_ == 422) return give("impossible");
     if (!good() || !reader_.rest().empty()) return give("lost");
@@ -112,10 +113,10 @@
     return status_ >= 200 && status_ < 300 && !answer_.foreign && !answer_.not_run && !answer_.other_instance;
   }
   void give(const char* outcome) { placing_.ended(attempt_, {outcome, status_, {}, part()}); }
-  void add(View events) {
+  void add(StringView events) {
     while (!events.empty()) {
       const auto end = std::min(events.find('\n'), events.size());
-      View line = events.substr(0, end);
+      StringView line = events.substr(0, end);
       events.remove_prefix(std::min(end + 1, events.size()));
       if (line.ends_with('\r')) line.remove_suffix(1);
       if (!line.starts_with("data:")) continue;
@@ -127,42 +128,42 @@
     }
   }
 
-  Placing& placing_;
+  ItemPlacer& placing_;
   std::uint64_t attempt_;
-  RequestFacts facts_;
+  RequestInfo facts_;
   StreamPart part_;
   EventReader reader_;
-  AnswerFacts answer_;
+  ResponseInfo answer_;
   int status_ = 0;
   bool any_ = false, damaged_ = false;
 };
 
-Placing::Placing(Messenger& messenger, SharedState& shared_state, Exchange& exchange, RandomSource& random,
-                 const Dialect& dialect)
-    : messenger_(messenger), shared_state_(shared_state), exchange_(exchange), random_(random), dialect_(dialect) {
-  messenger_.on_tell<PendingItems>([this](const Address& from, PendingItems pending) {
+ItemPlacer::ItemPlacer(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
+                       const Dialect& dialect)
+    : messenger_(messenger), shared_state_(shared_state), runner_client_(exchange), random_(random), dialect_(dialect) {
+  messenger_.on_message<PendingItems>([this](const Address& from, PendingItems pending) {
     sources_[from] = Source{std::move(pending.kinds), std::move(pending.late), messenger_.timers().now()};
     work_soon();
   });
-  messenger_.on_tell<PlacerTotals>([this](const Address&, PlacerTotals told) {
+  messenger_.on_message<PlacerTotals>([this](const Address&, PlacerTotals told) {
     shared_state_.take_totals(told.totals.runner_kind,
                               KindTotals{messenger_.timers().now(), std::move(told.totals.runners)});
   });
-  messenger_.on_ask<AskHeld>([this](const Address&, AskHeld ask, Answer<HeldReply> answer) {
+  messenger_.on_request<AskHeld>([this](const Address&, AskHeld ask, ReplyCallback<HeldReply> answer) {
     if (ask.incarnation != messenger_.incarnation())
-      return answer(Fault{FaultKind::stale, "incarnation", "the placer was started anew", "take its items as lost"});
+      return answer(Error{ErrorKind::stale, "incarnation", "the placer was started anew", "take its items as lost"});
     HeldReply reply;
     for (auto& item : ask.items)
       if (!held_.contains(item)) reply.missing.push_back(std::move(item));
     answer(std::move(reply));
   });
-  messenger_.on_ask<AskSlot>([this](const Address&, AskSlot ask, Answer<SlotItems> answer) {
+  messenger_.on_request<AskSlot>([this](const Address&, AskSlot ask, ReplyCallback<SlotItems> answer) {
     SlotItems reply{messenger_.incarnation(), {}};
     for (const auto& name : held_)
       if (slot_of("lot/" + name.lot) == ask.slot) reply.items.push_back(name);
     answer(std::move(reply));
   });
-  messenger_.on_tell<StopLot>([this](const Address&, StopLot ended) {
+  messenger_.on_message<StopLot>([this](const Address&, StopLot ended) {
     std::vector<std::uint64_t> stopped;
     for (const auto& [number, attempt] : attempts_)
       if (attempt.item.lot == ended.lot) stopped.push_back(number);
@@ -170,11 +171,12 @@
   });
 }
 
-void Placing::start() {
+void ItemPlacer::start() {
   tick();
 }
 
-bool Placing::takes_items(const ConfigurationView& configuration, const std::string& name, const Runner& runner) const {
+bool ItemPlacer::takes_items(const ConfigurationView& configuration, const std::string& name,
+                             const Runner& runner) const {
   if (runner.leaving || configuration.evacuated(runner.zone)) return false;
   auto circle = configuration.circles.find(runner.kind.text);
   if (circle == configuration.circles.end()) return false;
@@ -183,8 +185,8 @@
   return std::find(dark.begin(), dark.end(), RunnerId(name)) == dark.end();
 }
 
-std::optional<std::uint64_t> Placing::appointed(const ConfigurationView& configuration, const std::string& name,
-                                                const Runner& runner) const {
+std::optional<std::uint64_t> ItemPlacer::appointed(const ConfigurationView& configuration, const std::string& name,
+                                                   const Runner& runner) const {
   auto circle = configuration.circles.find(runner.kind.text);
   if (circle == configuration.circles.end()) return std::nullopt;
   const auto& placers = circle->second.spec.placers;
@@ -199,7 +201,8 @@
 // Slots free of items and of streams that began while the runner was in the circle; half of them stay free until the
 // totals are newer than the change that made this daemon its placer. A member of the circle has half of its slots for
 // prompts alone. A runner that may turn cold at any moment is never given more in a second than a cold one bears.
-std::uint32_t Placing::room(const std::string& name, const Runner& runner, const Kind& kind, bool shared, Work& state) {
+std::uint32_t ItemPlacer::room(const std::string& name, const Runner& runner, const Kind& kind, bool shared,
+                               Work& state) {
   const auto load = shared_state_.load.get();
   auto totals = load->find(runner.kind.text);
   if (totals == load->end() || !state.taking_since) return 0;
@@ -216,19 +219,19 @@
     free = std::min(free, most - std::min(most, taken));
   }
   if (kind.cold_rate > 0) {
-    const Moment now = messenger_.timers().now();
+    const TimePoint now = messenger_.timers().now();
     while (!state.sent.empty() && now - state.sent.front() > milliseconds(1100)) state.sent.pop_front();
-    const double share = shared || runner.cold > Span{} ? cold_share : warm_share;
+    const double share = shared || runner.cold > Duration{} ? cold_share : warm_share;
     const auto bound = static_cast<std::size_t>(std::max(1.0, kind.cold_rate * share));
     free = std::min(free, static_cast<std::uint32_t>(bound - std::min(bound, state.sent.size())));
   }
   return free;
 }
 
-void Placing::report_load() {
+void ItemPlacer::report_load() {
   const auto configuration = shared_state_.configuration.get();
   const auto members = shared_state_.members.get();
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   std::map<std::string, LoadReport> reports;
   for (const auto& [name, state] : works_) {
     auto runner = configuration->runners.find(name);
@@ -239,22 +242,22 @@
         ObservedLoad{state.open,
                      failing && state.failures >= 2,
                      tried,
-                     failing ? std::optional(Span{}) : std::nullopt,
+                     failing ? std::optional(Duration{}) : std::nullopt,
                      std::nullopt,
                      false,
-                     static_cast<std::uint32_t>(exchange_.connections(runner->second.spec.address, name))};
+                     static_cast<std::uint32_t>(runner_client_.connections(runner->second.spec.address, name))};
   }
   for (auto& [kind, report] : reports) {
     report.runner_kind = kind;
     report.incarnation = messenger_.incarnation();
     report.items = true;
-    if (const Seat* seat = slot_owner(configuration->roster, *members, slot_of("circle/" + kind)))
-      messenger_.tell(seat->address, report);
+    if (const Voter* seat = slot_owner(configuration->roster, *members, slot_of("circle/" + kind)))
+      messenger_.send(seat->address, report);
   }
 }
 
-void Placing::tick() {
-  const Moment now = messenger_.timers().now();
+void ItemPlacer::tick() {
+  const TimePoint now = messenger_.timers().now();
   const auto configuration = shared_state_.configuration.get();
   mine_.clear();
   for (const auto& [kind, circle] : configuration->circles)
@@ -295,23 +298,23 @@
   messenger_.timers().after(tick_span, [this] { tick(); });
 }
 
-void Placing::stop(const std::vector<std::uint64_t>& numbers) {
+void ItemPlacer::stop(const std::vector<std::uint64_t>& numbers) {
   for (const std::uint64_t number : numbers) {
     auto found = attempts_.find(number);
     if (found == attempts_.end()) continue;
-    exchange_.cancel(found->second.exchange);
+    runner_client_.cancel(found->second.exchange);
     ended(number, {"stopped", 0, {}, found->second.batch ? found->second.batch->part() : StreamPart{}});
   }
 }
 
-void Placing::leave(std::uint64_t number, const std::string& outcome, int status) {
+void ItemPlacer::leave(std::uint64_t number, const std::string& outcome, int status) {
   auto found = attempts_.find(number);
   if (found == attempts_.end()) return;
-  exchange_.cancel(found->second.exchange);
+  runner_client_.cancel(found->second.exchange);
   ended(number, {outcome, status, {}, {}});
 }
 
-void Placing::work_soon() {
+void ItemPlacer::work_soon() {
   if (work_soon_) return;
   work_soon_ = true;
   messenger_.timers().after(work_gap, [this] {
@@ -320,8 +323,8 @@
   });
 }
 
-void Placing::work() {
-  const Moment now = messenger_.timers().now();
+void ItemPlacer::work() {
+  const TimePoint now = messenger_.timers().now();
   if (sources_.empty() || mine_.empty() || !shared_state_.has_lease(now) || shared_state_.draining) return;
   const auto configuration = shared_state_.configuration.get();
   for (const auto& name : mine_) {
@@ -342,8 +345,8 @@
   }
 }
 
-void Placing::fetch(const std::string& name, const Runner& runner, Work& state, std::uint64_t term, std::uint32_t count,
-                    const Kind& kind) {
+void ItemPlacer::fetch(const std::string& name, const Runner& runner, Work& state, std::uint64_t term,
+                       std::uint32_t count, const Kind& kind) {
   FetchItems ask{runner.kind.text, name, count, term, 0};
   if (kind.engine.memory_tokens > 0) {
     if (state.tokens >= kind.engine.memory_tokens) return;
@@ -360,7 +363,7 @@
   if (owners.empty()) return;
   const Address owner = owners[random_.below(owners.size())];
   state.fetching = true;
-  messenger_.ask(
+  messenger_.request(
       owner, ask, fetch_limit,
       [this, name, owner, kind = runner.kind.text, began = messenger_.timers().now()](Result<ItemsReply> result) {
         works_[name].fetching = false;
@@ -371,7 +374,7 @@
         }
         if (auto source = sources_.find(owner); source != sources_.end())
           source->second.kinds[kind] = reply->remaining, source->second.late[kind] = reply->late;
-        const Moment now = messenger_.timers().now();
+        const TimePoint now = messenger_.timers().now();
         const auto configuration = shared_state_.configuration.get();
         auto found = configuration->runners.find(name);
         const bool good = found != configuration->runners.end() &&
@@ -388,7 +391,7 @@
       });
 }
 
-void Placing::send(const std::string& name, const PlacedItem& item) {
+void ItemPlacer::send(const std::string& name, const PlacedItem& item) {
   const auto configuration = shared_state_.configuration.get();
   auto lane = configuration->lanes.find(item.lane);
   auto runner = configuration->runners.find(name);
@@ -398,7 +401,7 @@
       !leads(lane->second.spec, runner->second.spec.kind))
     return report(FinishItem{item.lot, item.item, item.attempt, "not_run", 0, {}, {}, item.failures});
   const std::uint64_t number = ++last_attempt_;
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   Work& state = works_[name];
   ++state.open;
   state.tokens += item.request.tokens;
@@ -415,16 +418,16 @@
   request.between_pieces = lane->second.spec.between_pieces;
   request.runner = name;
   request.repeatable = attempt.repeatable;
-  std::shared_ptr<AttemptWatcher> watcher;
+  std::shared_ptr<AttemptObserver> watcher;
   if (item.batch) {
     request.target = item.request.path;
     request.headers = item.request.headers;
     request.first_piece = std::min(request.first_piece, first_event_limit);
     request.between_pieces = std::min(request.between_pieces, next_event_limit);
-    RequestFacts facts = dialect_.read_request(request.headers);
+    RequestInfo facts = dialect_.read_request(request.headers);
     facts.id = item.request.id;
     facts.host = item.host;
-    AttemptFacts given{name, run_budget, std::nullopt, {}};
+    AttemptInfo given{name, run_budget, std::nullopt, {}};
     if (item.part.last_event > 0) {
       given.last_event = item.part.last_event;
       given.version = item.part.version;
@@ -439,16 +442,16 @@
                        {"X-Mothwalk-Lot", item.lot}};
     watcher = std::make_shared<Watcher>(*this, number, kind->second.spec.refusals);
   }
-  attempt.exchange = exchange_.start(request, watcher);
+  attempt.exchange = runner_client_.start(request, watcher);
 }
 
-void Placing::ended(std::uint64_t number, Ending ending) {
+void ItemPlacer::ended(std::uint64_t number, Ending ending) {
   auto found = attempts_.find(number);
   if (found == attempts_.end()) return;
   const Attempt attempt = std::move(found->second);
   attempts_.erase(found);
   const std::string& outcome = ending.outcome;
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   Work& state = works_[attempt.runner];
   --state.open;
   state.tokens -= std::min<std::uint64_t>(state.tokens, attempt.item.request.tokens);
@@ -469,13 +472,13 @@
 
 // ---- reports: each goes on until the owner has heard it; until then the item counts as held
 
-void Placing::report(FinishItem finish) {
+void ItemPlacer::report(FinishItem finish) {
   const ItemName name{finish.lot, finish.item, finish.attempt};
   reports_[name] = Report{std::move(finish), false};
   report_soon();
 }
 
-void Placing::report_soon() {
+void ItemPlacer::report_soon() {
   if (report_soon_) return;
   report_soon_ = true;
   messenger_.timers().after(report_gap, [this] {
@@ -484,7 +487,7 @@
   });
 }
 
-void Placing::flush() {
+void ItemPlacer::flush() {
   const auto configuration = shared_state_.configuration.get();
   const auto members = shared_state_.members.get();
   struct Parcel {
@@ -496,7 +499,7 @@
   for (auto& [name, report] : reports_) {
     if (report.on_its_way) continue;
     const std::string key = "lot/" + name.lot;
-    const Seat* seat = slot_owner(configuration->roster_of(key), *members, slot_of(key));
+    const Voter* seat = slot_owner(configuration->roster_of(key), *members, slot_of(key));
     if (seat == nullptr) continue;
     Parcel& parcel = parcels[seat->address];
     if (parcel.names.size() >= most_reports || parcel.bytes >= report_bytes) continue;
@@ -506,18 +509,19 @@
     parcel.message.items.push_back(report.finish);
   }
   for (auto& [owner, parcel] : parcels)
-    messenger_.ask(owner, parcel.message, report_limit,
-                   [this, names = std::move(parcel.names)](Result<FinishReply> result) {
-                     for (const auto& name : names)
-                       if (auto found = reports_.find(name); found != reports_.end()) found->second.on_its_way = false;
-                     auto* reply = std::get_if<FinishReply>(&result);
-                     if (reply == nullptr) return;  // the next tick sends them again
-                     for (const std::uint32_t place : reply->heard) {
-                       if (place >= names.size()) continue;
-                       reports_.erase(names[place]);
-                       held_.erase(names[place]);
-                     }
-                   });
+    messenger_.request(owner, parcel.message, report_limit,
+                       [this, names = std::move(parcel.names)](Result<FinishReply> result) {
+                         for (const auto& name : names)
+                           if (auto found = reports_.find(name); found != reports_.end())
+                             found->second.on_its_way = false;
+                         auto* reply = std::get_if<FinishReply>(&result);
+                         if (reply == nullptr) return;  // the next tick sends them again
+                         for (const std::uint32_t place : reply->heard) {
+                           if (place >= names.size()) continue;
+                           reports_.erase(names[place]);
+                           held_.erase(names[place]);
+                         }
+                       });
 }
 
 }  // namespace mothwalk
--- a/source/lots/placing.hpp
+++ b/source/lots/item_placer.hpp
@@ -6,15 +6,15 @@
 #include <deque>
 
 #include "circle/circle.hpp"
+#include "interfaces/dialect.hpp"
 #include "lots/messages.hpp"
-#include "seams/dialect.hpp"
 
 namespace mothwalk {
 
-class Placing {
+class ItemPlacer {
  public:
-  Placing(Messenger& messenger, SharedState& shared_state, Exchange& exchange, RandomSource& random,
-          const Dialect& dialect = plain_dialect());
+  ItemPlacer(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
+             const Dialect& dialect = plain_dialect());
   void start();
   std::size_t open() const { return attempts_.size(); }
 
@@ -25,23 +25,23 @@
     std::uint32_t open = 0;
     std::uint64_t tokens = 0;  // of the open items
     bool fetching = false;
-    Moment not_before;
+    TimePoint not_before;
     std::uint32_t failures = 0;
-    std::optional<Moment> barred_since, taking_since;
-    Moment last_sent;
-    std::deque<Moment> sent;  // within the last second, where the kind bounds that
+    std::optional<TimePoint> barred_since, taking_since;
+    TimePoint last_sent;
+    std::deque<TimePoint> sent;  // within the last second, where the kind bounds that
     std::uint64_t term = 0;
   };
   struct Attempt {
     std::string runner;
     PlacedItem item;
-    Exchange::Id exchange = 0;
+    RunnerClient::Id exchange = 0;
     bool repeatable = false;
     std::shared_ptr<BatchWatcher> batch;
   };
   struct Source {
     std::map<std::string, std::uint32_t> kinds, late;
-    Moment heard;
+    TimePoint heard;
   };
   struct Ending {
     std::string outcome;
@@ -72,7 +72,7 @@
 
   Messenger& messenger_;
   SharedState& shared_state_;
-  Exchange& exchange_;
+  RunnerClient& runner_client_;
   RandomSource& random_;
   const Dialect& dialect_;
   std::map<std::string, Work> works_;
--- a/source/lots/lot_adoption.cpp
+++ b/source/lots/lot_adoption.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 // A start is this old before its placer is asked about it: well over the placers' start lease.
-constexpr Span settled_start = std::chrono::milliseconds(2500);
+constexpr Duration settled_start = std::chrono::milliseconds(2500);
 }  // namespace
 
 // Items that may run again leave no durable start: those who may run them say what they hold.
@@ -28,15 +28,15 @@
   slot.adopting = true;
   auto left = std::make_shared<std::size_t>(placers.size());
   for (const auto& placer : placers)
-    messenger_.ask(placer, AskSlot{number}, placer_answer_limit,
-                   [this, number, epoch = slot.epoch, left, placer](Result<SlotItems> result) {
-                     Slot& now_slot = slots_[number];
-                     if (now_slot.epoch != epoch) return;
-                     if (auto* held = std::get_if<SlotItems>(&result)) adopted(number, placer, *held);
-                     if (--*left > 0) return;
-                     now_slot.adopting = false;
-                     announce_soon_ = true;
-                   });
+    messenger_.request(placer, AskSlot{number}, placer_answer_limit,
+                       [this, number, epoch = slot.epoch, left, placer](Result<SlotItems> result) {
+                         Slot& now_slot = slots_[number];
+                         if (now_slot.epoch != epoch) return;
+                         if (auto* held = std::get_if<SlotItems>(&result)) adopted(number, placer, *held);
+                         if (--*left > 0) return;
+                         now_slot.adopting = false;
+                         announce_soon_ = true;
+                       });
 }
 
 void Lots::adopted(std::uint32_t number, const Address& placer, const SlotItems& held) {
@@ -60,7 +60,7 @@
 
 // The answer to a fetch may be lost on its way. A placer that lives and does not hold an item whose start lease is over
 // never ran it and never will: the item is free again, repeatable or not.
-void Lots::ask_placers(Moment now) {
+void Lots::ask_placers(TimePoint now) {
   std::map<std::pair<Address, std::uint64_t>, AskHeld> asks;
   for (const auto& slot : slots_)
     for (const auto& [id, lot] : slot.lots)
@@ -73,7 +73,7 @@
         }
       }
   for (const auto& [placer, ask] : asks)
-    messenger_.ask(placer.first, ask, placer_answer_limit, [this](Result<HeldReply> result) {
+    messenger_.request(placer.first, ask, placer_answer_limit, [this](Result<HeldReply> result) {
       auto* reply = std::get_if<HeldReply>(&result);
       if (reply == nullptr) return;
       for (const auto& name : reply->missing) {
--- a/source/lots/lot_calls.cpp
+++ b/source/lots/lot_calls.cpp
@@ -9,23 +9,23 @@
 }
 }  // namespace
 
-void LotCalls::submit(SubmitLot submit, Span limit, Answer<LotStatus> answer) {
+void LotCalls::submit(SubmitLot submit, Duration limit, ReplyCallback<LotStatus> answer) {
   const std::string key = key_of(submit.id);
   client_.ask_owner<SubmitLot>(key, std::move(submit), messenger_.timers().now() + limit, false, std::move(answer));
 }
 
-void LotCalls::read(ReadLot read, Span limit, Answer<LotPage> answer) {
+void LotCalls::read(ReadLot read, Duration limit, ReplyCallback<LotPage> answer) {
   const std::string key = key_of(read.id);
   client_.ask_owner<ReadLot>(key, std::move(read), messenger_.timers().now() + limit, false, std::move(answer));
 }
 
-void LotCalls::body(std::string id, std::string item, Span limit, Answer<ItemBody> answer) {
+void LotCalls::body(std::string id, std::string item, Duration limit, ReplyCallback<ItemBody> answer) {
   const std::string key = key_of(id);
   client_.ask_owner<ReadItem>(key, ReadItem{std::move(id), std::move(item)}, messenger_.timers().now() + limit, false,
                               std::move(answer));
 }
 
-void LotCalls::end(std::string id, Span limit, Answer<LotStatus> answer) {
+void LotCalls::end(std::string id, Duration limit, ReplyCallback<LotStatus> answer) {
   const std::string key = key_of(id);
   client_.ask_owner<CancelLot>(key, CancelLot{std::move(id)}, messenger_.timers().now() + limit, false,
                                std::move(answer));
--- a/source/lots/lot_calls.hpp
+++ b/source/lots/lot_calls.hpp
@@ -14,10 +14,10 @@
 class LotCalls {
  public:
   LotCalls(Messenger& messenger, SharedState& shared_state) : messenger_(messenger), client_(messenger, shared_state) {}
-  void submit(SubmitLot submit, Span limit, Answer<LotStatus> answer);
-  void read(ReadLot read, Span limit, Answer<LotPage> answer);
-  void body(std::string id, std::string item, Span limit, Answer<ItemBody> answer);
-  void end(std::string id, Span limit, Answer<LotStatus> answer);
+  void submit(SubmitLot submit, Duration limit, ReplyCallback<LotStatus> answer);
+  void read(ReadLot read, Duration limit, ReplyCallback<LotPage> answer);
+  void body(std::string id, std::string item, Duration limit, ReplyCallback<ItemBody> answer);
+  void end(std::string id, Duration limit, ReplyCallback<LotStatus> answer);
 
  private:
   Messenger& messenger_;
--- a/source/lots/lot_demand.cpp
+++ b/source/lots/lot_demand.cpp
@@ -7,7 +7,7 @@
 
 void Lots::announce() {
   announce_soon_ = false;
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   const auto configuration = shared_state_.configuration.get();
   Demand demand;
   for (const auto& slot : slots_)
@@ -21,7 +21,7 @@
   if (!demand.kinds.empty()) tell_demand(*configuration, demand);
 }
 
-void Lots::add_demand(const ConfigurationView& configuration, const Slot& slot, const Lot& lot, Moment now,
+void Lots::add_demand(const ConfigurationView& configuration, const Slot& slot, const Lot& lot, TimePoint now,
                       Demand& demand) const {
   auto lane = configuration.lanes.find(lot.head.lane);
   if (lane == configuration.lanes.end()) return;
@@ -41,9 +41,9 @@
   }
 }
 
-double Lots::runs_at_once(const Lot& lot, std::uint32_t pending, Moment now) const {
-  if (!lot.head.batch || lot.head.completion <= Span{}) return 0;
-  const Moment until = late(lot, now) ? lot.begun + lot.head.retention : lot.due;
+double Lots::runs_at_once(const Lot& lot, std::uint32_t pending, TimePoint now) const {
+  if (!lot.head.batch || lot.head.completion <= Duration{}) return 0;
+  const TimePoint until = late(lot, now) ? lot.begun + lot.head.retention : lot.due;
   const double run = took(lot);
   const double left = static_cast<double>((until - now).count()) / 1e6;
   const double items = pending + static_cast<double>(lot.busy.size());
@@ -57,10 +57,10 @@
   for (const auto& [kind, circle] : configuration.circles)
     if (demand.pending.kinds.contains(kind) || demand.pending.late.contains(kind))
       for (const auto& [runner, placer] : circle.spec.placers) placers.insert(placer.address);
-  for (const Address& placer : placers) messenger_.tell(placer, demand.pending);
+  for (const Address& placer : placers) messenger_.send(placer, demand.pending);
   for (const auto& [kind, of_kind] : demand.kinds)
-    if (const Seat* seat = slot_owner(configuration.roster, *members, slot_of("circle/" + kind)))
-      messenger_.tell(seat->address, KindPending{{{kind, of_kind}}});
+    if (const Voter* seat = slot_owner(configuration.roster, *members, slot_of("circle/" + kind)))
+      messenger_.send(seat->address, KindPending{{{kind, of_kind}}});
 }
 
 }  // namespace mothwalk
--- a/source/lots/lot_ending.cpp
+++ b/source/lots/lot_ending.cpp
@@ -5,14 +5,14 @@
 
 namespace {
 // How long a placer may be missing among the members until its items count as lost.
-constexpr Span placer_grace = std::chrono::milliseconds(1500);
+constexpr Duration placer_grace = std::chrono::milliseconds(1500);
 // An item of a lot that is no batch counts as lost so long after the time that its lane allows.
-constexpr Span overrun_grace = std::chrono::seconds(5);
+constexpr Duration overrun_grace = std::chrono::seconds(5);
 // The time that is allowed where the lane is gone.
-constexpr Span longest_run = std::chrono::seconds(60);
+constexpr Duration longest_run = std::chrono::seconds(60);
 }  // namespace
 
-void Lots::cancel(const std::string& id, Answer<LotStatus> answer) {
+void Lots::cancel(const std::string& id, ReplyCallback<LotStatus> answer) {
   bool ready = false;
   Lot* lot = find(id, &ready);
   if (!ready) return answer(lots_loading());
@@ -31,7 +31,7 @@
         now_lot->cancelling = false;
         queue(*now_lot);
       }
-      return answer(Fault{FaultKind::unknown, "id",
+      return answer(Error{ErrorKind::unknown, "id",
                           "the end of the lot got no majority in time; its outcome is not known", "send it again"});
     }
     now_lot->cancelled = true;
@@ -49,21 +49,21 @@
   write.key = lot_record_key(lot.id);
   write.removed = true;
   write.fence = lot.epoch.value;
-  messenger_.ask(messenger_.self(), write, lot_write_limit,
-                 [this, id = lot.id, epoch = lot.epoch](Result<WriteReply> result) {
-                   Lot* lot = find_under(id, epoch);
-                   if (lot == nullptr) return;
-                   if (fault_of(result) != nullptr) {
-                     lot->removing = false;
-                     return;
-                   }
-                   queue_.erase({lot->due, id});
-                   for (auto& waiter : lot->waiters) waiter.answer(lots_loading());
-                   slots_[slot_of(lot_record_key(id))].lots.erase(id);
-                 });
+  messenger_.request(messenger_.self(), write, lot_write_limit,
+                     [this, id = lot.id, epoch = lot.epoch](Result<WriteReply> result) {
+                       Lot* lot = find_under(id, epoch);
+                       if (lot == nullptr) return;
+                       if (error_of(result) != nullptr) {
+                         lot->removing = false;
+                         return;
+                       }
+                       queue_.erase({lot->due, id});
+                       for (auto& waiter : lot->waiters) waiter.answer(lots_loading());
+                       slots_[slot_of(lot_record_key(id))].lots.erase(id);
+                     });
 }
 
-void Lots::sweep(Lot& lot, Moment now) {
+void Lots::sweep(Lot& lot, TimePoint now) {
   if (lot.closed()) {
     if (!lot.removing && now - lot.closed_at > shared_state_.configuration.get()->lot_settings().retention) remove(lot);
     return;
@@ -72,26 +72,26 @@
     sweep_batch(lot, now);
   else if (lot.cancelled)
     give_up(lot, "cancelled");
-  else if (lot.head.deadline > Span{} && now - lot.begun >= lot.head.deadline)
+  else if (lot.head.deadline > Duration{} && now - lot.begun >= lot.head.deadline)
     give_up(lot, "expired");
   if (!lot.busy.empty()) free_lost_items(lot, now);
 }
 
-void Lots::sweep_batch(Lot& lot, Moment now) {
+void Lots::sweep_batch(Lot& lot, TimePoint now) {
   if (lot.cancelled) {
     std::set<Address> placers;
     for (const std::uint32_t index : lot.busy) placers.insert(lot.items[index].placer);
-    for (const auto& placer : placers) messenger_.tell(placer, StopLot{lot.id});
+    for (const auto& placer : placers) messenger_.send(placer, StopLot{lot.id});
     return;
   }
   const auto configuration = shared_state_.configuration.get();
   const bool lane_gone =
       !configuration->lanes.contains(lot.head.lane) && configuration->fleet.spec.revision > lot.head.revision;
-  const bool outlived = lot.head.retention > Span{} && now - lot.begun > lot.head.retention;
+  const bool outlived = lot.head.retention > Duration{} && now - lot.begun > lot.head.retention;
   if (lane_gone || outlived) give_up(lot, "abandoned");
 }
 
-void Lots::free_lost_items(Lot& lot, Moment now) {
+void Lots::free_lost_items(Lot& lot, TimePoint now) {
   const bool again_allowed = repeatable(lot);
   std::vector<LotEntry> unknown;
   for (const std::uint32_t index : lost_items(lot, now)) {
@@ -108,11 +108,11 @@
   if (!unknown.empty()) give_results(lot, std::move(unknown), [](bool) {});
 }
 
-std::vector<std::uint32_t> Lots::lost_items(Lot& lot, Moment now) const {
+std::vector<std::uint32_t> Lots::lost_items(Lot& lot, TimePoint now) const {
   const auto members = shared_state_.members.get();
   const auto configuration = shared_state_.configuration.get();
   auto lane = configuration->lanes.find(lot.head.lane);
-  const Span longest = lane == configuration->lanes.end() ? longest_run : lane->second.spec.whole;
+  const Duration longest = lane == configuration->lanes.end() ? longest_run : lane->second.spec.whole;
   std::vector<std::uint32_t> lost;
   for (const std::uint32_t index : lot.busy) {
     Item& item = lot.items[index];
--- a/source/lots/lot_ownership.cpp
+++ b/source/lots/lot_ownership.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 // Together with the placers' start lease well under the time in which an end of a lot takes hold.
-constexpr Span owner_lease = std::chrono::milliseconds(700);
-constexpr Span load_limit = std::chrono::milliseconds(1000);
-constexpr Span confirm_limit = std::chrono::milliseconds(1500);
+constexpr Duration owner_lease = std::chrono::milliseconds(700);
+constexpr Duration load_limit = std::chrono::milliseconds(1000);
+constexpr Duration confirm_limit = std::chrono::milliseconds(1500);
 // The time of a lot that names none.
-constexpr Span longest_completion = std::chrono::hours(24);
+constexpr Duration longest_completion = std::chrono::hours(24);
 // Lots of a slot that is owned no more are remembered so long: the next takeover may be this daemon's again.
-constexpr Span former_span = std::chrono::milliseconds(5000);
+constexpr Duration former_span = std::chrono::milliseconds(5000);
 // Between two loads, at most: about as long as the first one took, so that other work has half of the time.
-constexpr Span longest_load_rest = std::chrono::milliseconds(200);
+constexpr Duration longest_load_rest = std::chrono::milliseconds(200);
 // So many runners' placers are remembered before those of removed runners are forgotten.
 constexpr std::size_t known_placers = 4096;
 }  // namespace
@@ -77,8 +77,8 @@
   const Epoch epoch = slots_[number].epoch;
   ListSlot list{number, epoch, lot_record_key("")};
   for (const auto& [id, lot] : slots_[number].former) list.known.push_back(WrittenKey{lot_record_key(id), lot.written});
-  const Moment began = messenger_.timers().now();
-  messenger_.ask(messenger_.self(), list, load_limit, [this, number, epoch, began](Result<ListSlotReply> result) {
+  const TimePoint began = messenger_.timers().now();
+  messenger_.request(messenger_.self(), list, load_limit, [this, number, epoch, began](Result<ListSlotReply> result) {
     load_under_way_ = false;
     auto* reply = std::get_if<ListSlotReply>(&result);
     // Without a reply the store has given the slot up, or will answer when it is asked again.
@@ -89,8 +89,8 @@
   });
 }
 
-void Lots::rest_after_load(Span took) {
-  const Span rest = std::min(took, longest_load_rest);
+void Lots::rest_after_load(Duration took) {
+  const Duration rest = std::min(took, longest_load_rest);
   load_not_before_ = messenger_.timers().now() + rest;
   messenger_.timers().after(rest, [this] { load_next(); });
 }
@@ -116,15 +116,15 @@
 }
 
 Lots::Lot Lots::rebuild(const Record& record, Epoch epoch) const {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   Lot lot;
   lot.id = record.key.substr(lot_record_key("").size());
   lot.epoch = epoch;
   lot.written = record.written;
-  if (auto head = from_cbor<LotHead>(record.head)) lot.head = std::move(*head);
+  if (auto head = from_cbor<LotSpecification>(record.head)) lot.head = std::move(*head);
   lot.content = lot_content(lot.head);
   lot.items.resize(lot.head.items.size());
-  Span elapsed{};
+  Duration elapsed{};
   for (const auto& bytes : record.entries) {
     auto entry = from_cbor<LotEntry>(bytes);
     if (!entry) continue;
@@ -138,12 +138,12 @@
     if (lot.items[index].state == ItemState::pending) lot.pending.insert(index);
     if (lot.items[index].state == ItemState::started) lot.busy.insert(index);
   }
-  const Span limit = lot.head.batch ? lot.head.completion : lot.head.deadline;
-  lot.due = lot.begun + (limit > Span{} ? limit : longest_completion);
+  const Duration limit = lot.head.batch ? lot.head.completion : lot.head.deadline;
+  lot.due = lot.begun + (limit > Duration{} ? limit : longest_completion);
   return lot;
 }
 
-void Lots::replay(Lot& lot, LotEntry entry, Moment now) {
+void Lots::replay(Lot& lot, LotEntry entry, TimePoint now) {
   if (entry.what == "cancel") {
     lot.cancelled = true;
     return;
@@ -170,13 +170,13 @@
 void Lots::confirm(std::uint32_t number, std::function<void(bool)> then) {
   if (!slots_[number].ready) return then(false);
   const Epoch epoch = slots_[number].epoch;
-  messenger_.ask(messenger_.self(), ConfirmSlot{number, epoch}, confirm_limit,
-                 [this, number, epoch, began = messenger_.timers().now(), then](Result<ConfirmReply> result) {
-                   Slot& slot = slots_[number];
-                   const bool good = fault_of(result) == nullptr && slot.epoch == epoch && slot.ready;
-                   if (good) slot.confirmed = std::max(slot.confirmed.value_or(began), began);
-                   then(good);
-                 });
+  messenger_.request(messenger_.self(), ConfirmSlot{number, epoch}, confirm_limit,
+                     [this, number, epoch, began = messenger_.timers().now(), then](Result<ConfirmReply> result) {
+                       Slot& slot = slots_[number];
+                       const bool good = error_of(result) == nullptr && slot.epoch == epoch && slot.ready;
+                       if (good) slot.confirmed = std::max(slot.confirmed.value_or(began), began);
+                       then(good);
+                     });
 }
 
 bool Lots::leased(const Slot& slot) const {
--- a/source/lots/lot_reading.cpp
+++ b/source/lots/lot_reading.cpp
@@ -6,7 +6,7 @@
 namespace mothwalk {
 
 namespace {
-constexpr Span longest_wait = std::chrono::milliseconds(1000);
+constexpr Duration longest_wait = std::chrono::milliseconds(1000);
 constexpr std::size_t most_results = 1000, page_bytes = 900000;
 
 // At most what the text takes in JSON.
@@ -35,20 +35,20 @@
   return page;
 }
 
-void Lots::read(ReadLot read, Answer<LotPage> answer) {
+void Lots::read(ReadLot read, ReplyCallback<LotPage> answer) {
   bool ready = false;
   const Lot* lot = find(read.id, &ready);
   if (!ready) return answer(lots_loading());
   when_owner(read.id, lot != nullptr, [this, read, answer](bool good, Lot* now_lot) {
     if (!good) return answer(lots_loading());
     if (now_lot == nullptr) return answer(no_lot());
-    if (read.wait <= Span{} || read.after < now_lot->results.size() || now_lot->closed())
+    if (read.wait <= Duration{} || read.after < now_lot->results.size() || now_lot->closed())
       return answer(page(*now_lot, read));
     wait_for_result(*now_lot, read, answer);
   });
 }
 
-void Lots::wait_for_result(Lot& lot, const ReadLot& read, const Answer<LotPage>& answer) {
+void Lots::wait_for_result(Lot& lot, const ReadLot& read, const ReplyCallback<LotPage>& answer) {
   const std::uint64_t number = ++last_waiter_;
   lot.waiters.push_back(Waiter{number, read, answer});
   messenger_.timers().after(std::min(read.wait, longest_wait), [this, id = read.id, number] { end_wait(id, number); });
@@ -81,7 +81,7 @@
   for (auto& waiter : ready) waiter.answer(page(lot, waiter.read));
 }
 
-void Lots::body(ReadItem read, Answer<ItemBody> answer) {
+void Lots::body(ReadItem read, ReplyCallback<ItemBody> answer) {
   bool ready = false;
   const Lot* lot = find(read.id, &ready);
   if (!ready) return answer(lots_loading());
@@ -96,7 +96,7 @@
     if (!good) return answer(lots_loading());
     if (now_lot == nullptr) return answer(no_lot());
     if (const Bytes* body = unlisted(*now_lot, read.item)) return answer(ItemBody{*body});
-    answer(Fault{FaultKind::unknown_name, "item", "the lot has no unlisted item of this id", "read the lot's results"});
+    answer(Error{ErrorKind::unknown_name, "item", "the lot has no unlisted item of this id", "read the lot's results"});
   });
 }
 
--- a/source/lots/lot_results.cpp
+++ b/source/lots/lot_results.cpp
@@ -74,7 +74,7 @@
 
 // Reports that belong to one message; it is answered when each is settled or is known to need another sending.
 struct Lots::Finishing {
-  Answer<FinishReply> answer;
+  ReplyCallback<FinishReply> answer;
   FinishReply reply;
   std::size_t left = 1;
   void done() {
@@ -84,7 +84,7 @@
   }
 };
 
-void Lots::finish(FinishItems finish, Answer<FinishReply> answer) {
+void Lots::finish(FinishItems finish, ReplyCallback<FinishReply> answer) {
   auto state = std::make_shared<Finishing>();
   state->answer = std::move(answer);
   std::map<std::string, std::vector<LotEntry>> results;
--- a/source/lots/lot_starts.cpp
+++ b/source/lots/lot_starts.cpp
@@ -13,9 +13,9 @@
 // Runs without any gain that an item may have before it rests.
 constexpr std::uint32_t setbacks_before_rest = 2;
 // The first rest, which doubles with each further setback.
-constexpr Span shortest_rest = std::chrono::milliseconds(250);
+constexpr Duration shortest_rest = std::chrono::milliseconds(250);
 constexpr std::uint32_t most_rest_doublings = 3;
-constexpr Moment end_of_all_rests{std::numeric_limits<std::int64_t>::max()};
+constexpr TimePoint end_of_all_rests{std::numeric_limits<std::int64_t>::max()};
 }  // namespace
 
 std::uint64_t memory_of(const ConfigurationView& configuration, const std::string& kind) {
@@ -40,9 +40,9 @@
   return known == took_.end() ? unknown_run : known->second;
 }
 
-bool Lots::late(const Lot& lot, Moment now) const {
-  return lot.head.batch && lot.head.completion > Span{} &&
-         lot.due - now < Span(static_cast<std::int64_t>(took(lot) * 1e6));
+bool Lots::late(const Lot& lot, TimePoint now) const {
+  return lot.head.batch && lot.head.completion > Duration{} &&
+         lot.due - now < Duration(static_cast<std::int64_t>(took(lot) * 1e6));
 }
 
 // A fetch that is being answered: it is done once all starts that have to be durable are written.
@@ -50,12 +50,12 @@
   Address placer;
   std::uint64_t incarnation = 0;
   FetchItems fetch;
-  Answer<ItemsReply> answer;
+  ReplyCallback<ItemsReply> answer;
   ItemsReply reply;
   std::size_t left = 1;
   std::uint32_t wanted = 0;
   std::uint64_t tokens = 0;
-  Moment awake;  // items that rest for longer stay behind
+  TimePoint awake;  // items that rest for longer stay behind
 
   // Whether one more item fits into what the runner's memory has left; counts it in if so. One that does not fit is
   // passed over, so that it keeps no other from the runner.
@@ -70,16 +70,16 @@
   }
 };
 
-void Lots::fetch(const Address& placer, std::uint64_t incarnation, FetchItems fetch, Answer<ItemsReply> answer,
+void Lots::fetch(const Address& placer, std::uint64_t incarnation, FetchItems fetch, ReplyCallback<ItemsReply> answer,
                  bool again) {
   if (!newest_placer(placer, incarnation, fetch))
-    return answer(Fault{FaultKind::stale, "term", "runner '" + fetch.runner + "' has another placer",
+    return answer(Error{ErrorKind::stale, "term", "runner '" + fetch.runner + "' has another placer",
                         "wait for the news that names it"});
   auto fetching = std::make_shared<Fetching>();
   fetching->wanted = std::min(fetch.count, most_items_fetched);
   // Items that rest go where nothing else waits.
   std::vector<Lot*> choices;
-  for (const Moment awake : {messenger_.timers().now(), end_of_all_rests}) {
+  for (const TimePoint awake : {messenger_.timers().now(), end_of_all_rests}) {
     if (!choices.empty()) break;
     fetching->awake = awake;
     choices = lots_to_start(fetch, awake, fetching->reply);
@@ -115,15 +115,15 @@
   }));
 }
 
-std::uint32_t Lots::startable(const Lot& lot, std::uint64_t memory_tokens, Moment awake) {
+std::uint32_t Lots::startable(const Lot& lot, std::uint64_t memory_tokens, TimePoint awake) {
   const auto resting = std::count_if(lot.resting.begin(), lot.resting.end(), [&](const auto& each) {
     return each.second > awake && holds(memory_tokens, lot.head.items[each.first].tokens);
   });
   return holdable(lot, memory_tokens) - static_cast<std::uint32_t>(resting);
 }
 
-std::vector<Lots::Lot*> Lots::lots_to_start(const FetchItems& fetch, Moment awake, ItemsReply& reply) {
-  const Moment now = messenger_.timers().now();
+std::vector<Lots::Lot*> Lots::lots_to_start(const FetchItems& fetch, TimePoint awake, ItemsReply& reply) {
+  const TimePoint now = messenger_.timers().now();
   const auto configuration = shared_state_.configuration.get();
   const std::uint64_t memory = memory_of(*configuration, fetch.runner_kind);
   std::vector<Lot*> choices, late_ones;
@@ -132,7 +132,7 @@
     auto found = slot.lots.find(id);
     if (found == slot.lots.end() || slot.adopting || !leads(*configuration, found->second, fetch.runner_kind)) continue;
     Lot& lot = found->second;
-    const bool expired = !lot.head.batch && lot.head.deadline > Span{} && now - lot.begun >= lot.head.deadline;
+    const bool expired = !lot.head.batch && lot.head.deadline > Duration{} && now - lot.begun >= lot.head.deadline;
     if (expired) continue;
     const std::uint32_t waiting = startable(lot, memory, awake);
     if (waiting == 0) continue;
@@ -153,7 +153,7 @@
 }
 
 void Lots::start_items(Lot& lot, const std::shared_ptr<Fetching>& fetching) {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   const bool again_allowed = repeatable(lot);
   const std::uint64_t memory = memory_of(*shared_state_.configuration.get(), fetching->fetch.runner_kind);
   std::uint32_t& remaining = late(lot, now) ? fetching->reply.late : fetching->reply.remaining;
--- a/source/lots/lot_submission.cpp
+++ b/source/lots/lot_submission.cpp
@@ -6,32 +6,32 @@
 namespace mothwalk {
 
 namespace {
-std::optional<Fault> other_content(const std::string& id, const std::string& known, const std::string& given) {
+std::optional<Error> other_content(const std::string& id, const std::string& known, const std::string& given) {
   if (known == given) return std::nullopt;
-  return Fault{FaultKind::conflict, "id", "lot '" + id + "' was handed in with another body",
+  return Error{ErrorKind::conflict, "id", "lot '" + id + "' was handed in with another body",
                "use a new id for a new lot"};
 }
 }  // namespace
 
-std::string lot_content(const LotHead& head) {
+std::string lot_content(const LotSpecification& head) {
   const Bytes form = head.batch ? to_cbor(head.items) : to_cbor(head);
   return std::to_string(hash_of(form)) + "-" + std::to_string(hash_of(form, 1)) + "-" + std::to_string(form.size());
 }
 
-void Lots::submit(SubmitLot submit, Answer<LotStatus> answer) {
+void Lots::submit(SubmitLot submit, ReplyCallback<LotStatus> answer) {
   const std::uint32_t number = slot_of(lot_record_key(submit.id));
   Slot& slot = slots_[number];
   if (!slot.ready) return answer(lots_loading());
   const std::string content = lot_content(submit.head);
   if (auto found = slot.lots.find(submit.id); found != slot.lots.end()) {
-    if (auto fault = other_content(submit.id, found->second.content, content)) return answer(*fault);
+    if (auto error = other_content(submit.id, found->second.content, content)) return answer(*error);
     if (!found->second.removing)
       return when_owner(submit.id, false, [this, answer](bool good, Lot* lot) {
         good&& lot != nullptr ? answer(status(*lot)) : answer(lots_loading());
       });
   }
   const auto configuration = shared_state_.configuration.get();
-  if (auto fault = not_accepted(submit.head, *configuration)) return answer(*fault);
+  if (auto error = not_accepted(submit.head, *configuration)) return answer(*error);
   submit.head.revision = std::max(submit.head.revision, configuration->fleet.spec.revision);
   Write write;
   write.key = lot_record_key(submit.id);
@@ -40,9 +40,9 @@
   write.fence = slot.epoch.value;
   write.token = content;
   write.growth = expected_growth(submit.head.items.size());
-  messenger_.ask(messenger_.self(), write, lot_write_limit,
-                 [this, id = submit.id, head = to_cbor(submit.head), content, epoch = slot.epoch,
-                  answer](Result<WriteReply> result) { submitted(id, head, content, epoch, result, answer); });
+  messenger_.request(messenger_.self(), write, lot_write_limit,
+                     [this, id = submit.id, head = to_cbor(submit.head), content, epoch = slot.epoch,
+                      answer](Result<WriteReply> result) { submitted(id, head, content, epoch, result, answer); });
 }
 
 // The results of all items that have none yet. An owner knows its own slots' lots, and takes the others' to be like
@@ -57,20 +57,20 @@
   return static_cast<std::uint64_t>(result_bytes_ * static_cast<double>(unfinished)) * slot_count / owned;
 }
 
-std::optional<Fault> Lots::not_accepted(const LotHead& head, const ConfigurationView& configuration) const {
+std::optional<Error> Lots::not_accepted(const LotSpecification& head, const ConfigurationView& configuration) const {
   const LotSettings settings = configuration.lot_settings();
   if (!configuration.lanes.contains(head.lane)) {
     // The configuration that has the lane may be on its way to this daemon.
     if (head.revision > configuration.fleet.spec.revision) return lots_loading();
-    return Fault{FaultKind::invalid, "lane", "no lane has the name '" + head.lane + "'", "name an existing lane"};
+    return Error{ErrorKind::invalid, "lane", "no lane has the name '" + head.lane + "'", "name an existing lane"};
   }
   if (head.items.empty() || head.items.size() > settings.items)
-    return Fault{FaultKind::invalid, "items", "a lot has 1 to " + std::to_string(settings.items) + " items",
+    return Error{ErrorKind::invalid, "items", "a lot has 1 to " + std::to_string(settings.items) + " items",
                  "split the lot"};
   std::size_t kept = 0;
   for (const auto& slot : slots_) kept += slot.lots.size();
   if (kept >= settings.lots)
-    return Fault{FaultKind::refused, "lots", "the store of lots is full; the lot was not taken",
+    return Error{ErrorKind::refused, "lots", "the store of lots is full; the lot was not taken",
                  "hand it in again later, or raise lots in lots/default"};
   return std::nullopt;
 }
@@ -86,19 +86,19 @@
 }
 
 void Lots::submitted(const std::string& id, const Bytes& head, const std::string& content, Epoch epoch,
-                     const Result<WriteReply>& result, const Answer<LotStatus>& answer) {
+                     const Result<WriteReply>& result, const ReplyCallback<LotStatus>& answer) {
   Slot& slot = slots_[slot_of(lot_record_key(id))];
-  const Fault unsure{FaultKind::unknown, "id", "whether the lot was taken is not known",
+  const Error unsure{ErrorKind::unknown, "id", "whether the lot was taken is not known",
                      "hand it in again under the same id"};
-  const Fault* fault = fault_of(result);
-  if (fault != nullptr && fault->kind != FaultKind::stale) return answer(*fault);
+  const Error* error = error_of(result);
+  if (error != nullptr && error->kind != ErrorKind::stale) return answer(*error);
   // A write under an epoch that is over may stand, and one that found a record may have found this very lot.
   if (slot.epoch != epoch || !slot.ready) return answer(unsure);
   if (auto found = slot.lots.find(id); found != slot.lots.end()) {
     if (auto other = other_content(id, found->second.content, content)) return answer(*other);
     return answer(status(found->second));
   }
-  if (fault != nullptr) return answer(unsure);
+  if (error != nullptr) return answer(unsure);
   Record record;
   record.key = lot_record_key(id);
   record.head = head;
--- a/source/lots/lots.cpp
+++ b/source/lots/lots.cpp
@@ -4,37 +4,39 @@
 namespace mothwalk {
 
 namespace {
-constexpr Span tick_span = std::chrono::milliseconds(50);
+constexpr Duration tick_span = std::chrono::milliseconds(50);
 // The other duties by number of ticks.
 constexpr std::uint64_t sweep_ticks = 4, announce_ticks = 8, ask_ticks = 20;
 }  // namespace
 
 Lots::Lots(Messenger& messenger, SharedState& shared_state) : messenger_(messenger), shared_state_(shared_state) {
-  messenger_.on_ask<SubmitLot>([this](const Address&, SubmitLot message, Answer<LotStatus> answer) {
+  messenger_.on_request<SubmitLot>([this](const Address&, SubmitLot message, ReplyCallback<LotStatus> answer) {
     submit(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<CancelLot>(
-      [this](const Address&, CancelLot message, Answer<LotStatus> answer) { cancel(message.id, std::move(answer)); });
-  messenger_.on_ask<ReadLot>(
-      [this](const Address&, ReadLot message, Answer<LotPage> answer) { read(std::move(message), std::move(answer)); });
-  messenger_.on_ask<ReadItem>([this](const Address&, ReadItem message, Answer<ItemBody> answer) {
+  messenger_.on_request<CancelLot>([this](const Address&, CancelLot message, ReplyCallback<LotStatus> answer) {
+    cancel(message.id, std::move(answer));
+  });
+  messenger_.on_request<ReadLot>([this](const Address&, ReadLot message, ReplyCallback<LotPage> answer) {
+    read(std::move(message), std::move(answer));
+  });
+  messenger_.on_request<ReadItem>([this](const Address&, ReadItem message, ReplyCallback<ItemBody> answer) {
     body(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<ListLots>([this](const Address&, ListLots, Answer<LotList> answer) {
+  messenger_.on_request<ListLots>([this](const Address&, ListLots, ReplyCallback<LotList> answer) {
     LotList list;
     for (const auto& slot : slots_)
       for (const auto& [id, lot] : slot.lots) list.lots.push_back(status(lot));
     answer(std::move(list));
   });
-  messenger_.on_ask<FetchItems>([this](const Address& from, FetchItems message, Answer<ItemsReply> answer) {
+  messenger_.on_request<FetchItems>([this](const Address& from, FetchItems message, ReplyCallback<ItemsReply> answer) {
     const auto members = shared_state_.members.get();
     auto placer = members->all.find(from);
     if (placer == members->all.end())
       return answer(
-          Fault{FaultKind::refused, "placer", "this daemon is not a member", "wait until its session stands"});
+          Error{ErrorKind::refused, "placer", "this daemon is not a member", "wait until its session stands"});
     fetch(from, placer->second.incarnation, std::move(message), std::move(answer), false);
   });
-  messenger_.on_ask<FinishItems>([this](const Address&, FinishItems message, Answer<FinishReply> answer) {
+  messenger_.on_request<FinishItems>([this](const Address&, FinishItems message, ReplyCallback<FinishReply> answer) {
     finish(std::move(message), std::move(answer));
   });
 }
@@ -45,7 +47,7 @@
 
 void Lots::tick() {
   follow_ownership();
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   if (++ticks_ % sweep_ticks == 0)
     for (auto& slot : slots_)
       for (auto& [id, lot] : slot.lots) sweep(lot, now);
@@ -72,14 +74,14 @@
   write.key = lot_record_key(lot.id);
   write.fence = lot.epoch.value;
   for (const auto& entry : entries) write.appends.push_back(to_cbor(entry));
-  messenger_.ask(messenger_.self(), write, lot_write_limit,
-                 [this, id = lot.id, epoch = lot.epoch, then](Result<WriteReply> result) {
-                   Lot* now_lot = find_under(id, epoch);
-                   const auto* reply = std::get_if<WriteReply>(&result);
-                   if (now_lot != nullptr && reply != nullptr)
-                     now_lot->written = std::max(now_lot->written, reply->stamp);
-                   then(now_lot, reply != nullptr);
-                 });
+  messenger_.request(messenger_.self(), write, lot_write_limit,
+                     [this, id = lot.id, epoch = lot.epoch, then](Result<WriteReply> result) {
+                       Lot* now_lot = find_under(id, epoch);
+                       const auto* reply = std::get_if<WriteReply>(&result);
+                       if (now_lot != nullptr && reply != nullptr)
+                         now_lot->written = std::max(now_lot->written, reply->stamp);
+                       then(now_lot, reply != nullptr);
+                     });
 }
 
 bool Lots::repeatable(const Lot& lot) const {
--- a/source/lots/lots_internals.hpp
+++ b/source/lots/lots_internals.hpp
@@ -5,10 +5,10 @@
 namespace mothwalk {
 
 // How long a write of a lot's record may take until its outcome counts as unknown.
-inline constexpr Span lot_write_limit = std::chrono::milliseconds(2500);
+inline constexpr Duration lot_write_limit = std::chrono::milliseconds(2500);
 
 // How long a placer may take to say what it holds.
-inline constexpr Span placer_answer_limit = std::chrono::milliseconds(1000);
+inline constexpr Duration placer_answer_limit = std::chrono::milliseconds(1000);
 
 // The key of a lot's record in the replicated store.
 inline std::string lot_record_key(const std::string& id) {
@@ -16,12 +16,12 @@
 }
 
 // The slots of this owner are not loaded, or no majority confirms that it owns them.
-inline Fault lots_loading() {
-  return Fault{FaultKind::busy, "slot", "the lots of this slot are being taken over", "ask again"};
+inline Error lots_loading() {
+  return Error{ErrorKind::busy, "slot", "the lots of this slot are being taken over", "ask again"};
 }
 
-inline Fault no_lot() {
-  return Fault{FaultKind::unknown_name, "id", "there is no lot of this id",
+inline Error no_lot() {
+  return Error{ErrorKind::unknown_name, "id", "there is no lot of this id",
                "check the id; finished lots are kept for the retention time only"};
 }
 
@@ -32,6 +32,6 @@
 bool holds(std::uint64_t memory_tokens, std::uint32_t item_tokens);
 
 // Names what was handed in. Of a batch the items alone: what the lane promises may have changed between two sendings.
-std::string lot_content(const LotHead& head);
+std::string lot_content(const LotSpecification& head);
 
 }  // namespace mothwalk
--- a/source/lots/messages.hpp
+++ b/source/lots/messages.hpp
@@ -13,14 +13,14 @@
   std::uint32_t tokens = 0;  // of the prompt and the most that may come out
   MOTHWALK_FIELDS(id, path, headers, body, tokens)
 };
-struct LotHead {
+struct LotSpecification {
   std::string lane;
-  Span deadline{};  // of lots that are no batch: items without a result by then expire
+  Duration deadline{};  // of lots that are no batch: items without a result by then expire
   std::vector<LotItem> items;
-  bool batch = false;  // items are whole requests that may run again, their answers series of events with rising ids
-  std::string host;    // of a batch, as its attempts carry it
-  Span completion{};   // of a batch, since its submission: by when all results are due
-  Span retention{};    // of a batch, since its submission: from when items may be given up
+  bool batch = false;     // items are whole requests that may run again, their answers series of events with rising ids
+  std::string host;       // of a batch, as its attempts carry it
+  Duration completion{};  // of a batch, since its submission: by when all results are due
+  Duration retention{};   // of a batch, since its submission: from when items may be given up
   std::uint32_t attempts = 0;  // of a batch: answers of 500 that end an item
   std::uint64_t revision = 0;  // of the configuration that the lane was found in
   MOTHWALK_FIELDS(lane, deadline, items, batch, host, completion, retention, attempts, revision)
@@ -34,7 +34,7 @@
   std::uint64_t attempt = 0;
   Address placer;
   std::uint64_t incarnation = 0;
-  Span elapsed{};
+  Duration elapsed{};
   std::string outcome;  // answer, unknown, expired, cancelled; of a batch answer or abandoned
   std::int32_t status = 0;
   Bytes body;
@@ -47,14 +47,14 @@
   MOTHWALK_FIELDS(id, lane, state, items, results, started)
 };
 struct SubmitLot {
-  static constexpr View kind = "lots.submit";
+  static constexpr StringView kind = "lots.submit";
   using Reply = LotStatus;
   std::string id;
-  LotHead head;
+  LotSpecification head;
   MOTHWALK_FIELDS(id, head)
 };
 struct CancelLot {
-  static constexpr View kind = "lots.cancel";
+  static constexpr StringView kind = "lots.cancel";
   using Reply = LotStatus;
   std::string id;
   MOTHWALK_FIELDS(id)
@@ -74,11 +74,11 @@
   MOTHWALK_FIELDS(lot, results, next)
 };
 struct ReadLot {
-  static constexpr View kind = "lots.read";
+  static constexpr StringView kind = "lots.read";
   using Reply = LotPage;
   std::string id;
   std::uint32_t after = 0, limit = 0;
-  Span wait{};  // how long the answer may be held until there is a result at that position; at most a second
+  Duration wait{};  // how long the answer may be held until there is a result at that position; at most a second
   MOTHWALK_FIELDS(id, after, limit, wait)
 };
 struct ItemBody {
@@ -87,7 +87,7 @@
 };
 // The body of an item that is not listed yet.
 struct ReadItem {
-  static constexpr View kind = "lots.item";
+  static constexpr StringView kind = "lots.item";
   using Reply = ItemBody;
   std::string id, item;
   MOTHWALK_FIELDS(id, item)
@@ -97,7 +97,7 @@
   MOTHWALK_FIELDS(lots)
 };
 struct ListLots {
-  static constexpr View kind = "lots.list";
+  static constexpr StringView kind = "lots.list";
   using Reply = LotList;
   bool ask = true;
   MOTHWALK_FIELDS(ask)
@@ -105,7 +105,7 @@
 
 // Between owners and placing daemons.
 struct PendingItems {
-  static constexpr View kind = "placing.pending";
+  static constexpr StringView kind = "placing.pending";
   std::map<std::string, std::uint32_t> kinds;  // items that can be in time
   std::map<std::string, std::uint32_t> late;   // and those that can't any more
   MOTHWALK_FIELDS(kinds, late)
@@ -117,7 +117,7 @@
   MOTHWALK_FIELDS(pending, at_once)
 };
 struct KindPending {
-  static constexpr View kind = "circle.pending";
+  static constexpr StringView kind = "circle.pending";
   std::map<std::string, LotDemand> kinds;
   MOTHWALK_FIELDS(kinds)
 };
@@ -145,7 +145,7 @@
   MOTHWALK_FIELDS(items, remaining, late)
 };
 struct FetchItems {
-  static constexpr View kind = "lots.fetch";
+  static constexpr StringView kind = "lots.fetch";
   using Reply = ItemsReply;
   std::string runner_kind, runner;
   std::uint32_t count = 0;
@@ -166,7 +166,7 @@
   MOTHWALK_FIELDS(missing)
 };
 struct AskHeld {
-  static constexpr View kind = "placing.held";
+  static constexpr StringView kind = "placing.held";
   using Reply = HeldReply;
   std::uint64_t incarnation = 0;
   std::vector<ItemName> items;
@@ -179,14 +179,14 @@
   MOTHWALK_FIELDS(incarnation, items)
 };
 struct AskSlot {
-  static constexpr View kind = "placing.slot";
+  static constexpr StringView kind = "placing.slot";
   using Reply = SlotItems;
   std::uint32_t slot = 0;
   MOTHWALK_FIELDS(slot)
 };
 // The lot was ended: its running items are of no use.
 struct StopLot {
-  static constexpr View kind = "placing.stop";
+  static constexpr StringView kind = "placing.stop";
   std::string lot;
   MOTHWALK_FIELDS(lot)
 };
@@ -208,7 +208,7 @@
   MOTHWALK_FIELDS(heard)
 };
 struct FinishItems {
-  static constexpr View kind = "lots.finish";
+  static constexpr StringView kind = "lots.finish";
   using Reply = FinishReply;
   std::vector<FinishItem> items;
   MOTHWALK_FIELDS(items)
--- a/source/mothwalk.hpp
+++ b/source/mothwalk.hpp
@@ -1,5 +1,5 @@
 // The common header of the project: byte and view aliases, the small types for ids, versions and times, and the
-// typed faults that every part answers with. A fault names the field at fault, says what is wrong and what mends it.
+// typed errors that every part replies with. An error names the invalid field, says what is wrong and what mends it.
 #pragma once
 #include <array>
 #include <chrono>
@@ -19,31 +19,31 @@
 namespace mothwalk {
 
 using Bytes = std::string;
-using View = std::string_view;
+using StringView = std::string_view;
 
 template <class Tag>
-struct Name {
+struct StrongString {
   std::string text;
-  Name() = default;
-  explicit Name(std::string given) : text(std::move(given)) {}
+  StrongString() = default;
+  explicit StrongString(std::string given) : text(std::move(given)) {}
   bool empty() const { return text.empty(); }
-  auto operator<=>(const Name&) const = default;
+  auto operator<=>(const StrongString&) const = default;
 };
 
 template <class Tag>
-struct Number {
+struct StrongInteger {
   std::uint64_t value = 0;
-  auto operator<=>(const Number&) const = default;
-  Number next() const { return Number{value + 1}; }
+  auto operator<=>(const StrongInteger&) const = default;
+  StrongInteger next() const { return StrongInteger{value + 1}; }
 };
 
-using Address = Name<struct AddressTag>;  // ip:port of a daemon's peer side or of a runner
-using ZoneId = Name<struct ZoneTag>;      // a zone
-using RunnerId = Name<struct RunnerTag>;
-using KindId = Name<struct KindTag>;
-using HolderId = Name<struct HolderTag>;  // random identity of a data folder
-using Epoch = Number<struct EpochTag>;
-using Version = Number<struct VersionTag>;
+using Address = StrongString<struct AddressTag>;  // ip:port of a daemon's peer side or of a runner
+using ZoneId = StrongString<struct ZoneTag>;      // a zone
+using RunnerId = StrongString<struct RunnerTag>;
+using KindId = StrongString<struct KindTag>;
+using StorageNodeId = StrongString<struct StorageNodeTag>;  // random identity of a data folder
+using Epoch = StrongInteger<struct EpochTag>;
+using Version = StrongInteger<struct VersionTag>;
 
 struct Stamp {
   Epoch epoch;
@@ -61,34 +61,34 @@
   auto operator<=>(const Stamp&) const = default;
 };
 
-using Span = std::chrono::microseconds;  // a length of time
-struct Moment {                          // a point on the steady clock that counts suspended time
+using Duration = std::chrono::microseconds;  // a length of time
+struct TimePoint {                           // a point on the steady clock that counts suspended time
   std::int64_t microseconds = 0;
-  auto operator<=>(const Moment&) const = default;
-  Moment operator+(Span span) const { return Moment{microseconds + span.count()}; }
-  Span operator-(Moment other) const { return Span{microseconds - other.microseconds}; }
+  auto operator<=>(const TimePoint&) const = default;
+  TimePoint operator+(Duration span) const { return TimePoint{microseconds + span.count()}; }
+  Duration operator-(TimePoint other) const { return Duration{microseconds - other.microseconds}; }
 };
 
-enum class FaultKind { invalid, unknown_name, conflict, stale, refused, unknown, too_large, damaged, busy, lost };
+enum class ErrorKind { invalid, unknown_name, conflict, stale, refused, unknown, too_large, damaged, busy, lost };
 
-struct Fault {
-  FaultKind kind = FaultKind::invalid;
+struct Error {
+  ErrorKind kind = ErrorKind::invalid;
   std::string field;
   std::string message;
   std::string remedy;
 };
 
 template <class Value>
-using Result = std::variant<Value, Fault>;
-struct Done {};
+using Result = std::variant<Value, Error>;
+struct Success {};
 
 template <class Value>
-const Fault* fault_of(const Result<Value>& result) {
-  return std::get_if<Fault>(&result);
+const Error* error_of(const Result<Value>& result) {
+  return std::get_if<Error>(&result);
 }
 
-std::string_view fault_name(FaultKind kind);
-int fault_status(FaultKind kind);
-std::uint64_t hash_of(View text, std::uint64_t seed = 0);
+std::string_view error_name(ErrorKind kind);
+int error_status(ErrorKind kind);
+std::uint64_t hash_of(StringView text, std::uint64_t seed = 0);
 
 }  // namespace mothwalk
--- a/source/operator/main.cpp
+++ b/source/operator/main.cpp
@@ -45,44 +45,44 @@
   std::vector<Address> controls;
   bool as_json = false;
 
-  int say(const Fault& fault) const {
+  int say(const Error& error) const {
     if (as_json)
-      std::cerr << json::serialize(fault_to_json(fault)) << "\n";
+      std::cerr << json::serialize(error_to_json(error)) << "\n";
     else
-      std::cerr << "mothwalk-operator: " << (fault.field.empty() ? "" : fault.field + ": ") << fault.message << "; "
-                << fault.remedy << ".\n";
-    return fault.kind == FaultKind::lost                                  ? 3
-           : fault.kind == FaultKind::unknown                             ? 4
-           : fault.kind == FaultKind::invalid && fault.field == "command" ? 2
+      std::cerr << "mothwalk-operator: " << (error.field.empty() ? "" : error.field + ": ") << error.message << "; "
+                << error.remedy << ".\n";
+    return error.kind == ErrorKind::lost                                  ? 3
+           : error.kind == ErrorKind::unknown                             ? 4
+           : error.kind == ErrorKind::invalid && error.field == "command" ? 2
                                                                           : 1;
   }
 
   // Goes to the first daemon that answers; a call that may have taken effect is not sent to a second one.
-  Result<json::value> call(View method, const std::string& target, View body = "") const {
-    Fault last{FaultKind::lost, "control", "no control address is given",
+  Result<json::value> call(StringView method, const std::string& target, StringView body = "") const {
+    Error last{ErrorKind::lost, "control", "no control address is given",
                "name one with --control or MOTHWALK_CONTROL"};
     for (const auto& control : controls) {
       auto answer = http_call(control, method, target, body, std::chrono::seconds(25));
-      if (auto fault = fault_of(answer)) {
-        last = *fault;
-        if (fault->kind != FaultKind::lost && method != "GET") return last;
+      if (auto error = error_of(answer)) {
+        last = *error;
+        if (error->kind != ErrorKind::lost && method != "GET") return last;
         continue;
       }
       const HttpAnswer& given = std::get<HttpAnswer>(answer);
       auto parsed = parse_json(given.body);
-      if (auto fault = fault_of(parsed)) return *fault;
+      if (auto error = error_of(parsed)) return *error;
       json::value value = std::get<json::value>(parsed);
       if (given.status == 200) return value;
-      Fault fault{given.status == 404   ? FaultKind::unknown_name
-                  : given.status == 504 ? FaultKind::unknown
-                                        : FaultKind::refused,
+      Error error{given.status == 404   ? ErrorKind::unknown_name
+                  : given.status == 504 ? ErrorKind::unknown
+                                        : ErrorKind::refused,
                   "", "the daemon answered " + std::to_string(given.status), "see its logs"};
       if (value.is_object() && value.as_object().contains("message")) {
-        fault.field = std::string(value.at("field").as_string());
-        fault.message = std::string(value.at("message").as_string());
-        fault.remedy = std::string(value.at("remedy").as_string());
+        error.field = std::string(value.at("field").as_string());
+        error.message = std::string(value.at("message").as_string());
+        error.remedy = std::string(value.at("remedy").as_string());
       }
-      return fault;
+      return error;
     }
     return last;
   }
@@ -124,7 +124,7 @@
 
 int get(const Tool& tool, const std::string& type, const std::string& name) {
   auto answer = tool.call("GET", "/v1/resources/" + type + (name.empty() ? "" : "/" + name));
-  if (auto fault = fault_of(answer)) return tool.say(*fault);
+  if (auto error = error_of(answer)) return tool.say(*error);
   const json::value& value = std::get<json::value>(answer);
   if (name.empty())
     return show_list(tool, value, value.at("resources").as_array(), {"type", "name", "version", "spec"});
@@ -143,8 +143,8 @@
   const std::string path = "/v1/resources/" + type + "/" + name;
   if (!version) {
     auto current = tool.call("GET", path);
-    if (auto fault = fault_of(current)) {
-      if (fault->kind != FaultKind::unknown_name || fault->field != "name") return tool.say(*fault);
+    if (auto error = error_of(current)) {
+      if (error->kind != ErrorKind::unknown_name || error->field != "name") return tool.say(*error);
       version = 0;
     } else {
       const json::value& value = std::get<json::value>(current);
@@ -154,7 +154,7 @@
     }
   }
   auto answer = tool.call("PUT", path + "?version=" + std::to_string(*version), json::serialize(spec));
-  if (auto fault = fault_of(answer)) return tool.say(*fault);
+  if (auto error = error_of(answer)) return tool.say(*error);
   const json::value& value = std::get<json::value>(answer);
   if (tool.as_json)
     std::cout << json::serialize(value) << "\n";
@@ -170,7 +170,7 @@
   } else {
     std::ifstream stream(file);
     if (!stream)
-      return Fault{FaultKind::invalid, "command", "the file '" + file + "' can't be read", "give a readable file"};
+      return Error{ErrorKind::invalid, "command", "the file '" + file + "' can't be read", "give a readable file"};
     text.assign(std::istreambuf_iterator<char>(stream), {});
   }
   return read_documents(text);
@@ -184,7 +184,7 @@
 
 Result<ConfigurationView> current_view(const Tool& tool) {
   auto answer = tool.call("GET", "/v1/watch");
-  if (auto fault = fault_of(answer)) return *fault;
+  if (auto error = error_of(answer)) return *error;
   ConfigurationView view;
   for (const auto& each : std::get<json::value>(answer).at("resources").as_array()) {
     const Bytes spec = json::serialize(each.at("spec"));
@@ -196,15 +196,15 @@
 
 int check_or_plan(const Tool& tool, const std::string& file, bool plan_it) {
   auto documents = documents_of(file);
-  if (auto fault = fault_of(documents)) return tool.say(*fault);
+  if (auto error = error_of(documents)) return tool.say(*error);
   ConfigurationView view;
   if (plan_it || !tool.controls.empty()) {
     auto current = current_view(tool);
-    if (auto fault = fault_of(current)) return tool.say(*fault);
+    if (auto error = error_of(current)) return tool.say(*error);
     view = std::get<ConfigurationView>(current);
   }
   auto made = plan(std::get<std::vector<Document>>(documents), view);
-  if (auto fault = fault_of(made)) return tool.say(*fault);
+  if (auto error = error_of(made)) return tool.say(*error);
   const Plan& found = std::get<Plan>(made);
   if (!plan_it) return std::cout << std::get<std::vector<Document>>(documents).size() << " documents are good.\n", 0;
   if (tool.as_json) return std::cout << json::serialize(to_json(found)) << "\n", 0;
@@ -216,12 +216,12 @@
 
 int apply(const Tool& tool, const std::string& file) {
   auto documents = documents_of(file);
-  if (auto fault = fault_of(documents)) return tool.say(*fault);
+  if (auto error = error_of(documents)) return tool.say(*error);
   // All are checked before the first is sent: a faulty file changes nothing.
   auto view = current_view(tool);
-  if (auto fault = fault_of(view)) return tool.say(*fault);
+  if (auto error = error_of(view)) return tool.say(*error);
   auto made = plan(std::get<std::vector<Document>>(documents), std::get<ConfigurationView>(view));
-  if (auto fault = fault_of(made)) return tool.say(*fault);
+  if (auto error = error_of(made)) return tool.say(*error);
   for (const auto& document : std::get<std::vector<Document>>(documents)) {
     auto checked = parse_json(document.canonical);
     if (const int code = put(tool, document.type, document.name, std::get<json::value>(checked), document.version);
@@ -234,9 +234,9 @@
 int remove(const Tool& tool, const std::string& type, const std::string& name) {
   const std::string path = "/v1/resources/" + type + "/" + name;
   auto current = tool.call("GET", path);
-  if (auto fault = fault_of(current)) return tool.say(*fault);
+  if (auto error = error_of(current)) return tool.say(*error);
   auto answer = tool.call("DELETE", path + "?version=" + plain(std::get<json::value>(current).at("version")));
-  if (auto fault = fault_of(answer)) return tool.say(*fault);
+  if (auto error = error_of(answer)) return tool.say(*error);
   return std::cout << type << "/" << name << " is removed\n", 0;
 }
 
@@ -245,7 +245,7 @@
   std::string digest;
   for (bool first = true; count > 0; first = false) {
     auto answer = tool.call("GET", "/v1/watch" + (digest.empty() ? "" : "?digest=" + digest));
-    if (auto fault = fault_of(answer)) return tool.say(*fault);
+    if (auto error = error_of(answer)) return tool.say(*error);
     const json::value& value = std::get<json::value>(answer);
     digest = plain(value.at("digest"));
     std::map<std::string, std::string> now;
@@ -270,22 +270,22 @@
 // Each aim against what all daemons have counted since they started; 1 if one is not met.
 int aims(const Tool& tool) {
   auto view = current_view(tool);
-  if (auto fault = fault_of(view)) return tool.say(*fault);
+  if (auto error = error_of(view)) return tool.say(*error);
   auto members = tool.call("GET", "/v1/members");
-  if (auto fault = fault_of(members)) return tool.say(*fault);
+  if (auto error = error_of(members)) return tool.say(*error);
   std::map<std::string, AimCounts> sums;
   std::size_t silent = 0;
   for (const auto& member : std::get<json::value>(members).at("members").as_array()) {
     Tool one = tool;
     one.controls = {Address(plain(member.at("control")))};
     auto load = one.call("GET", "/v1/load");
-    if (fault_of(load)) {
+    if (error_of(load)) {
       ++silent;
       continue;
     }
     auto counts = from_json<std::map<std::string, AimCounts>>(
         json::serialize(std::get<json::value>(load).at("entries").at("aims")));
-    if (fault_of(counts)) {
+    if (error_of(counts)) {
       ++silent;
       continue;
     }
@@ -318,13 +318,13 @@
 
 int health(const Tool& tool) {
   auto members = tool.call("GET", "/v1/members");
-  if (auto fault = fault_of(members)) return tool.say(*fault);
+  if (auto error = error_of(members)) return tool.say(*error);
   json::array list;
   int code = 0;
   for (const auto& member : std::get<json::value>(members).at("members").as_array()) {
     Tool one{{Address(plain(member.at("control")))}, tool.as_json};
     auto answer = one.call("GET", "/v1/health");
-    if (fault_of(answer)) {
+    if (error_of(answer)) {
       list.push_back(
           json::object{{"address", member.at("address")}, {"zone", member.at("zone")}, {"state", "no answer"}});
       code = 1;
@@ -341,7 +341,7 @@
 int run(const Tool& tool, const std::vector<std::string>& words) {
   const std::string& command = words[0];
   auto wrong = [&](const std::string& what) {
-    return tool.say(Fault{FaultKind::invalid, "command", what, "see mothwalk-operator --help"});
+    return tool.say(Error{ErrorKind::invalid, "command", what, "see mothwalk-operator --help"});
   };
   const std::string first = words.size() > 1 ? words[1] : "", second = words.size() > 2 ? words[2] : "";
   auto needs = [&](std::size_t least, std::size_t most) {
@@ -370,14 +370,14 @@
   }
   if (command == "members" && needs(0, 0)) {
     auto answer = tool.call("GET", "/v1/members");
-    if (auto fault = fault_of(answer)) return tool.say(*fault);
+    if (auto error = error_of(answer)) return tool.say(*error);
     const json::value& value = std::get<json::value>(answer);
     return show_list(tool, value, value.at("members").as_array(),
                      {"address", "zone", "callers", "control", "holder", "roster", "version"});
   }
   if (command == "lots" && needs(0, 1)) {
     auto answer = tool.call("GET", "/lots" + (first.empty() ? "" : "/" + first));
-    if (auto fault = fault_of(answer)) return tool.say(*fault);
+    if (auto error = error_of(answer)) return tool.say(*error);
     const json::value& value = std::get<json::value>(answer);
     if (first.empty()) {
       if (!tool.as_json && !value.at("whole").as_bool())
@@ -390,7 +390,7 @@
   }
   if (command == "cancel" && needs(1, 1)) {
     auto answer = tool.call("DELETE", "/lots/" + first);
-    if (auto fault = fault_of(answer)) return tool.say(*fault);
+    if (auto error = error_of(answer)) return tool.say(*error);
     return std::cout << "lot " << first << " is " << plain(std::get<json::value>(answer).at("state")) << "\n", 0;
   }
   return wrong("'" + command + "' is not a command, or its words are too few or too many");
--- a/source/operator/planner.cpp
+++ b/source/operator/planner.cpp
@@ -5,9 +5,9 @@
 
 namespace mothwalk {
 
-Result<std::vector<Document>> read_documents(View text) {
+Result<std::vector<Document>> read_documents(StringView text) {
   auto parsed = parse_json(text);
-  if (auto fault = fault_of(parsed)) return *fault;
+  if (auto error = error_of(parsed)) return *error;
   const json::value& value = std::get<json::value>(parsed);
   json::array list;
   if (value.is_array())
@@ -19,28 +19,28 @@
     const std::string path =
         value.is_array() ? std::string("[").append(std::to_string(index)).append("]") : std::string();
     auto wrong = [&](const std::string& field, const std::string& message, const std::string& remedy) {
-      return Fault{FaultKind::invalid, path + (path.empty() || field.empty() ? "" : ".") + field, message, remedy};
+      return Error{ErrorKind::invalid, path + (path.empty() || field.empty() ? "" : ".") + field, message, remedy};
     };
     if (!list[index].is_object())
       return wrong("", "the document is not an object", "give {\"type\", \"name\", \"spec\"}");
     Document document;
     bool has_spec = false;
     for (const auto& each : list[index].as_object()) {
-      std::optional<Fault> fault;
+      std::optional<Error> error;
       const std::string field(each.key());
       if (field == "type") {
-        fault = JsonReader::read(each.value(), document.type, field);
+        error = JsonReader::read(each.value(), document.type, field);
         document.type = current_type(document.type);
       } else if (field == "name")
-        fault = JsonReader::read(each.value(), document.name, field);
+        error = JsonReader::read(each.value(), document.name, field);
       else if (field == "version")
-        fault = JsonReader::read(each.value(), document.version, field);
+        error = JsonReader::read(each.value(), document.version, field);
       else if (field == "spec") {
         document.spec = each.value();
         has_spec = true;
       } else
-        fault = Fault{FaultKind::invalid, field, "this field is not known", "use only: type, name, version, spec"};
-      if (fault) return wrong(fault->field, fault->message, fault->remedy);
+        error = Error{ErrorKind::invalid, field, "this field is not known", "use only: type, name, version, spec"};
+      if (error) return wrong(error->field, error->message, error->remedy);
     }
     if (!has_spec) return wrong("spec", "the spec is missing", "give the resource's fields under spec");
     documents.push_back(std::move(document));
@@ -106,15 +106,15 @@
     Document& document = documents[index];
     const std::string key = document.type + "/" + document.name;
     auto checked = check_document(document.type, document.name, json::serialize(document.spec), after);
-    if (auto fault = fault_of(checked)) {
-      Fault named = *fault;
+    if (auto error = error_of(checked)) {
+      Error named = *error;
       named.field = key + (named.field.empty() ? "" : "." + named.field);
       return named;
     }
     document.canonical = std::get<Bytes>(checked);
     const std::uint64_t current = version_of(after, document.type, document.name);
     if (document.version && *document.version != version_of(before, document.type, document.name))
-      return Fault{FaultKind::stale, key + ".version",
+      return Error{ErrorKind::stale, key + ".version",
                    "the document is for version " + std::to_string(*document.version) + ", the resource is at " +
                        std::to_string(version_of(before, document.type, document.name)),
                    "read the resource again and make your change to that version"};
--- a/source/operator/planner.hpp
+++ b/source/operator/planner.hpp
@@ -16,7 +16,7 @@
   MOTHWALK_FIELDS(changes, warnings)
 };
 
-Result<std::vector<Document>> read_documents(View text);
+Result<std::vector<Document>> read_documents(StringView text);
 // Checks all documents in order, each against what the ones before it leave, and tells what would change.
 Result<Plan> plan(std::vector<Document>& documents, const ConfigurationView& view);
 
--- a/source/replication/copying.cpp
+++ b/source/replication/copying.cpp
@@ -10,17 +10,17 @@
 namespace {
 constexpr std::size_t copies_size = 1u << 20;  // bytes of a message; a longer record goes alone
 // Copies that no majority needs wait so long after a change of the roster: another one may follow.
-constexpr Span roster_rest = std::chrono::milliseconds(600);
+constexpr Duration roster_rest = std::chrono::milliseconds(600);
 }  // namespace
 
 void ReplicatedStore::queue_transfer(TransferPointer transfer) {
   ++transfer->taking->waiting;
-  const HolderId holder = transfer->seat.holder;
+  const StorageNodeId holder = transfer->seat.holder;
   transfers_[holder].waiting.push_back(std::move(transfer));
   send_copies(holder);
 }
 
-bool ReplicatedStore::transferring(const HolderId& holder, std::uint32_t slot) const {
+bool ReplicatedStore::transferring(const StorageNodeId& holder, std::uint32_t slot) const {
   auto seat = transfers_.find(holder);
   if (seat == transfers_.end()) return false;
   const auto& waiting = seat->second.waiting;
@@ -39,7 +39,7 @@
          taking.stored + (taking.left - taking.waiting) < roster_.majority();
 }
 
-void ReplicatedStore::send_copies(const HolderId& holder) {
+void ReplicatedStore::send_copies(const StorageNodeId& holder) {
   SeatTransfers& seat = transfers_[holder];
   if (seat.sending) return;
   std::erase_if(seat.waiting, [this](const TransferPointer& each) { return !current(*each); });
@@ -105,7 +105,7 @@
 }
 
 void ReplicatedStore::resume_transfers() {
-  std::vector<HolderId> holders;
+  std::vector<StorageNodeId> holders;
   for (const auto& [holder, seat] : transfers_) holders.push_back(holder);
   for (const auto& holder : holders) send_copies(holder);
 }
--- a/source/replication/first_roster.cpp
+++ b/source/replication/first_roster.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span founding_pause = milliseconds(1500);
-constexpr Span gathering_pause = milliseconds(1200), candidates_pause = milliseconds(700),
-               few_candidates_pause = milliseconds(4000), stranded_pause = milliseconds(2500);
+constexpr Duration founding_pause = milliseconds(1500);
+constexpr Duration gathering_pause = milliseconds(1200), candidates_pause = milliseconds(700),
+                   few_candidates_pause = milliseconds(4000), stranded_pause = milliseconds(2500);
 constexpr std::size_t wanted_seats = 5, fewest_seats = 3;
 }  // namespace
 
-void ReplicatedStore::on_found(Found found, Answer<WhoReply> answer) {
+void ReplicatedStore::on_found(FoundRoster found, ReplyCallback<IdentifyReply> answer) {
   if (!lots_only() && roster_.seats.empty() && found.roster.seated(identity_)) {
     roster_ = found.roster;
     tell_seats();
     return persist(DiskEntry{.what = "roster", .roster = roster_}, [this, answer] {
-      answer(WhoReply{identity_, self_.address, self_.zone, roster_});
+      answer(IdentifyReply{identity_, self_.address, self_.zone, roster_});
     });
   }
-  answer(WhoReply{identity_, self_.address, self_.zone, roster_});
+  answer(IdentifyReply{identity_, self_.address, self_.zone, roster_});
 }
 
 void ReplicatedStore::found() {
@@ -32,11 +32,11 @@
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
     if (member.roster.value > 0) return;
   founding_ = true;
-  auto replies = std::make_shared<std::vector<WhoReply>>();
+  auto replies = std::make_shared<std::vector<IdentifyReply>>();
   auto left = std::make_shared<std::size_t>(seeds_.size());
   for (const Address& seed : seeds_)
-    messenger_.ask(seed, Who{}, milliseconds(500), [this, replies, left](Result<WhoReply> result) {
-      if (auto* reply = std::get_if<WhoReply>(&result)) replies->push_back(std::move(*reply));
+    messenger_.request(seed, IdentifyRequest{}, milliseconds(500), [this, replies, left](Result<IdentifyReply> result) {
+      if (auto* reply = std::get_if<IdentifyReply>(&result)) replies->push_back(std::move(*reply));
       if (--*left > 0) return;
       founding_ = false;
       for (const auto& reply : *replies)
@@ -48,13 +48,13 @@
       Roster roster{Version{1}, {}};
       for (const auto& reply : *replies) {
         if (reply.holder.empty()) return;
-        roster.seats.push_back(Seat{reply.holder, reply.address, reply.zone});
+        roster.seats.push_back(Voter{reply.holder, reply.address, reply.zone});
       }
       std::sort(roster.seats.begin(), roster.seats.end(),
-                [](const Seat& first, const Seat& second) { return first.address < second.address; });
+                [](const Voter& first, const Voter& second) { return first.address < second.address; });
       if (roster.seats.front().address != self_.address) return;
       for (const auto& seat : roster.seats)
-        messenger_.ask(seat.address, Found{roster}, milliseconds(500), [](Result<WhoReply>) {});
+        messenger_.request(seat.address, FoundRoster{roster}, milliseconds(500), [](Result<IdentifyReply>) {});
     });
 }
 
@@ -62,7 +62,7 @@
 // the other, so that the first seed's word decides.
 void ReplicatedStore::gather() {
   if (!*first_start_ || founding_ || seeds_.empty()) return;
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
     if (member.roster.value > 0) return;
   founding_ = true;
@@ -72,13 +72,13 @@
   };
   auto round = std::make_shared<Round>();
   round->left = seeds_.size();
-  const Seat mine{identity_, self_.address, self_.zone, self_.name};
+  const Voter mine{identity_, self_.address, self_.zone, self_.name};
   for (const Address& seed : seeds_)
-    messenger_.ask(seed, ReportCandidate{mine}, milliseconds(400), [this, round, now](Result<ReportReply> result) {
+    messenger_.request(seed, ReportCandidate{mine}, milliseconds(400), [this, round, now](Result<ReportReply> result) {
       if (auto* reply = std::get_if<ReportReply>(&result)) round->replies.push_back(std::move(*reply));
       if (--round->left > 0) return;
       founding_ = false;
-      std::map<HolderId, Seat> candidates;
+      std::map<StorageNodeId, Voter> candidates;
       Roster word;
       for (auto& reply : round->replies) {
         if (reply.known || !reply.first_start) return;
@@ -100,7 +100,7 @@
       Roster roster{Version{1}, {}};
       for (const auto& [holder, seat] : candidates_) roster.seats.push_back(seat);
       std::sort(roster.seats.begin(), roster.seats.end(),
-                [](const Seat& first, const Seat& second) { return first.address < second.address; });
+                [](const Voter& first, const Voter& second) { return first.address < second.address; });
       if (roster.seats.front().holder != identity_) return;
       founding_ = true;
       propose(std::move(roster), 0);
@@ -113,12 +113,12 @@
     report_.note("A roster of " + std::to_string(roster.seats.size()) +
                  " seats is founded with the word of all seeds.");
     for (const auto& seat : roster.seats)
-      messenger_.ask(seat.address, Found{roster}, milliseconds(500), [](Result<WhoReply>) {});
+      messenger_.request(seat.address, FoundRoster{roster}, milliseconds(500), [](Result<IdentifyReply>) {});
     return;
   }
   std::vector<Address> order = seeds_;
   std::sort(order.begin(), order.end());
-  messenger_.ask(order[seed], AskWord{roster}, milliseconds(500), [this, roster, seed](Result<WordReply> result) {
+  messenger_.request(order[seed], AskWord{roster}, milliseconds(500), [this, roster, seed](Result<WordReply> result) {
     auto* reply = std::get_if<WordReply>(&result);
     // Only the first seed chooses: another one whose word stands for something else ends this attempt.
     if (reply == nullptr || !reply->given || (seed > 0 && reply->roster.seats != roster.seats)) {
--- a/source/replication/founding.hpp
+++ b/source/replication/founding.hpp
@@ -11,15 +11,15 @@
 struct ReportReply {
   bool first_start = false;  // a daemon started again never gives its word
   bool known = false;        // it knows of a roster that stands
-  std::vector<Seat> candidates;
+  std::vector<Voter> candidates;
   Roster word;  // the roster that it gave its word for, if any
   MOTHWALK_FIELDS(first_start, known, candidates, word)
 };
 // A holder of control state with an empty folder offers itself.
 struct ReportCandidate {
-  static constexpr View kind = "founding.report";
+  static constexpr StringView kind = "founding.report";
   using Reply = ReportReply;
-  Seat candidate;
+  Voter candidate;
   MOTHWALK_FIELDS(candidate)
 };
 struct WordReply {
@@ -28,7 +28,7 @@
   MOTHWALK_FIELDS(given, roster)
 };
 struct AskWord {
-  static constexpr View kind = "founding.word";
+  static constexpr StringView kind = "founding.word";
   using Reply = WordReply;
   Roster roster;
   MOTHWALK_FIELDS(roster)
@@ -42,7 +42,7 @@
   bool known() const;
   SharedState& shared_state_;
   bool first_start_;
-  std::map<HolderId, Seat> candidates_;
+  std::map<StorageNodeId, Voter> candidates_;
   Roster word_;
 };
 
--- a/source/replication/hand_over.cpp
+++ b/source/replication/hand_over.cpp
@@ -17,7 +17,7 @@
   const Epoch epoch{std::max(held_[slot].promised, owned.epoch).value + 1};
   owned.epoch = epoch;
   struct Round {
-    std::vector<std::pair<Seat, PromiseReply>> replies;
+    std::vector<std::pair<Voter, PromiseReply>> replies;
     std::size_t left = 0;
     bool enough = false, own = false;
   };
@@ -61,15 +61,15 @@
     });
 }
 
-void ReplicatedStore::fail_takeover(std::uint32_t slot, const std::string& reason, Span pause) {
+void ReplicatedStore::fail_takeover(std::uint32_t slot, const std::string& reason, Duration pause) {
   ++counts_.takeovers_failed[reason];
   step_down(slot, pause);
 }
 
 // A seat that is new to a slot learns the epoch in force by its first refusal and may go on at once; further refusals
 // mean that another one is taking the slot as well.
-Span ReplicatedStore::refused_pause(Owned& owned) {
-  if (owned.refusals++ == 0) return Span{};
+Duration ReplicatedStore::refused_pause(Owned& owned) {
+  if (owned.refusals++ == 0) return Duration{};
   return milliseconds(200 + random_.below(600));
 }
 
@@ -90,11 +90,11 @@
     return true;
   });
   if (taking->lacking.empty()) return hand_over(slot, epoch, taking);
-  const Seat from = taking->lacking.begin()->second.second;
+  const Voter from = taking->lacking.begin()->second.second;
   FetchRecords fetch{slot, {}};
   for (const auto& [key, each] : taking->lacking)
     if (each.second == from) fetch.keys.push_back(key);
-  messenger_.ask(from.address, fetch, peer_timeout, [this, slot, epoch, taking](Result<RecordsReply> result) {
+  messenger_.request(from.address, fetch, peer_timeout, [this, slot, epoch, taking](Result<RecordsReply> result) {
     if (owned_[slot].state != Owned::State::taking || owned_[slot].epoch != epoch) return;
     auto* reply = std::get_if<RecordsReply>(&result);
     const std::size_t before = taking->lacking.size();
@@ -130,10 +130,10 @@
   owned_[slot].whole.clear();
   taking->left = roster_.seats.size();
   const Version roster = roster_.version;
-  for (const auto& seat : std::vector<Seat>(roster_.seats)) install_at(seat, slot, epoch, roster, taking, 3);
+  for (const auto& seat : std::vector<Voter>(roster_.seats)) install_at(seat, slot, epoch, roster, taking, 3);
 }
 
-void ReplicatedStore::install_at(const Seat& seat, std::uint32_t slot, Epoch epoch, Version roster,
+void ReplicatedStore::install_at(const Voter& seat, std::uint32_t slot, Epoch epoch, Version roster,
                                  TakingPointer taking, int times) {
   ask_seat(seat, Install{{}, {}, slot, epoch, roster, taking->content}, peer_timeout,
            [this, seat, slot, epoch, roster, taking, times](Result<StoreReply> result) {
--- a/source/replication/log_files.cpp
+++ b/source/replication/log_files.cpp
@@ -17,7 +17,7 @@
 
 Result<Bytes> LogFiles::read_all() {
   auto bytes = volume_.read(current_file);
-  if (fault_of(bytes) == nullptr) synced_ = std::get<Bytes>(bytes).size();
+  if (error_of(bytes) == nullptr) synced_ = std::get<Bytes>(bytes).size();
   return bytes;
 }
 
@@ -58,7 +58,7 @@
   return end;
 }
 
-bool LogFiles::append(View bytes) {
+bool LogFiles::append(StringView bytes) {
   if (failed_ || bytes.empty()) return !failed_;
   if (volume_.write(current_file, bytes) && volume_.sync(current_file)) {
     synced_ += bytes.size();
@@ -82,7 +82,7 @@
   return next_good_;
 }
 
-bool LogFiles::write_next(View bytes) {
+bool LogFiles::write_next(StringView bytes) {
   if (!next_good_) return false;
   next_good_ = volume_.write(next_file, bytes) && volume_.sync(next_file);
   next_size_ += bytes.size();
--- a/source/replication/log_files.hpp
+++ b/source/replication/log_files.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <deque>
 
-#include "seams/disk.hpp"
+#include "interfaces/disk.hpp"
 
 namespace mothwalk {
 
@@ -19,10 +19,10 @@
 
  private:
   std::size_t append_run(const std::deque<DiskOrder>& orders, std::size_t first, std::vector<bool>& results);
-  bool append(View bytes);
+  bool append(StringView bytes);
   bool cut(std::size_t size);
   bool begin_next();
-  bool write_next(View bytes);
+  bool write_next(StringView bytes);
   bool switch_to_next();
   bool drop_next();
 
--- a/source/replication/messages.hpp
+++ b/source/replication/messages.hpp
@@ -36,7 +36,7 @@
   MOTHWALK_FIELDS(stamp, entries)
 };
 struct Write {
-  static constexpr View kind = "store.write";
+  static constexpr StringView kind = "store.write";
   using Reply = WriteReply;
   std::string key;
   std::optional<Bytes> head;
@@ -56,7 +56,7 @@
   MOTHWALK_FIELDS(found, record, entries)
 };
 struct Read {
-  static constexpr View kind = "store.read";
+  static constexpr StringView kind = "store.read";
   using Reply = ReadReply;
   std::string key;
   bool head_only = false;  // without the record's entries
@@ -79,7 +79,7 @@
 };
 // Local: all records of an owned slot under a prefix, but for those that the asker has.
 struct ListSlot {
-  static constexpr View kind = "store.list";
+  static constexpr StringView kind = "store.list";
   using Reply = ListSlotReply;
   std::uint32_t slot = 0;
   Epoch epoch;
@@ -93,7 +93,7 @@
   MOTHWALK_FIELDS(good)
 };
 struct ConfirmSlot {
-  static constexpr View kind = "store.confirmslot";
+  static constexpr StringView kind = "store.confirmslot";
   using Reply = ConfirmReply;
   std::uint32_t slot = 0;
   Epoch epoch;
@@ -122,9 +122,9 @@
   MOTHWALK_FIELDS(granted, epoch, installed, roster, records, more)
 };
 struct Promise {
-  static constexpr View kind = "store.promise";
+  static constexpr StringView kind = "store.promise";
   using Reply = PromiseReply;
-  HolderId target, owner;
+  StorageNodeId target, owner;
   std::uint32_t slot = 0;
   Epoch epoch;
   Roster roster;
@@ -139,9 +139,9 @@
   MOTHWALK_FIELDS(outcome, epoch, roster, missing)
 };
 struct Store {
-  static constexpr View kind = "store.store";
+  static constexpr StringView kind = "store.store";
   using Reply = StoreReply;
-  HolderId target, owner;
+  StorageNodeId target, owner;
   std::uint32_t slot = 0;
   Epoch epoch;
   Version roster;
@@ -150,9 +150,9 @@
 };
 // Records of a hand-over that a seat lacks, under its epoch.
 struct Copies {
-  static constexpr View kind = "store.copies";
+  static constexpr StringView kind = "store.copies";
   using Reply = StoreReply;
-  HolderId target, owner;
+  StorageNodeId target, owner;
   std::uint32_t slot = 0;
   Epoch epoch;
   Version roster;
@@ -162,9 +162,9 @@
 // The whole content of a slot at its hand-over, by key and by when it was written. All of it goes over to the epoch,
 // and what is not named is dropped.
 struct Install {
-  static constexpr View kind = "store.install";
+  static constexpr StringView kind = "store.install";
   using Reply = StoreReply;
-  HolderId target, owner;
+  StorageNodeId target, owner;
   std::uint32_t slot = 0;
   Epoch epoch;
   Version roster;
@@ -172,51 +172,51 @@
   MOTHWALK_FIELDS(target, owner, slot, epoch, roster, content)
 };
 struct Confirm {
-  static constexpr View kind = "store.confirm";
+  static constexpr StringView kind = "store.confirm";
   using Reply = StoreReply;
-  HolderId target, owner;
+  StorageNodeId target, owner;
   std::uint32_t slot = 0;
   Epoch epoch;
   Version roster;
   MOTHWALK_FIELDS(target, owner, slot, epoch, roster)
 };
-struct RosterNews {
-  static constexpr View kind = "store.roster";
+struct RosterUpdate {
+  static constexpr StringView kind = "store.roster";
   Roster roster;
   std::string keeps;  // whose roster it is, as in Member
   MOTHWALK_FIELDS(roster, keeps)
 };
-struct WhoReply {
-  HolderId holder;
+struct IdentifyReply {
+  StorageNodeId holder;
   Address address;
   ZoneId zone;
   Roster roster;
   MOTHWALK_FIELDS(holder, address, zone, roster)
 };
-struct Who {
-  static constexpr View kind = "store.who";
-  using Reply = WhoReply;
+struct IdentifyRequest {
+  static constexpr StringView kind = "store.who";
+  using Reply = IdentifyReply;
   bool ask = true;
   MOTHWALK_FIELDS(ask)
 };
-struct Found {
-  static constexpr View kind = "store.found";
-  using Reply = WhoReply;
+struct FoundRoster {
+  static constexpr StringView kind = "store.found";
+  using Reply = IdentifyReply;
   Roster roster;
   MOTHWALK_FIELDS(roster)
 };
 // The slots that a holder owns under the roster, and for every slot what its copy is: the last whole hand-over and
 // digest.
-struct SettledReply {
+struct SyncStatusReply {
   std::vector<std::uint32_t> slots;
   std::vector<Epoch> epochs;  // of those
   std::vector<Epoch> installed;
   std::vector<std::uint64_t> digests;
   MOTHWALK_FIELDS(slots, epochs, installed, digests)
 };
-struct Settled {
-  static constexpr View kind = "store.settled";
-  using Reply = SettledReply;
+struct SyncStatus {
+  static constexpr StringView kind = "store.settled";
+  using Reply = SyncStatusReply;
   Version roster;
   MOTHWALK_FIELDS(roster)
 };
@@ -230,7 +230,7 @@
   MOTHWALK_FIELDS(known, retired, seated, complete, holder, enough_remain)
 };
 struct Retirement {
-  static constexpr View kind = "store.retirement";
+  static constexpr StringView kind = "store.retirement";
   using Reply = RetirementReply;
   std::string roster;  // the key: "roster" or "roster/lots"
   Address holder;      // empty where only its name is known
@@ -243,7 +243,7 @@
   MOTHWALK_FIELDS(digests)
 };
 struct Digests {
-  static constexpr View kind = "store.digests";
+  static constexpr StringView kind = "store.digests";
   using Reply = DigestsReply;
   bool ask = true;
   MOTHWALK_FIELDS(ask)
@@ -253,13 +253,13 @@
   MOTHWALK_FIELDS(stamps)
 };
 struct Range {
-  static constexpr View kind = "store.range";
+  static constexpr StringView kind = "store.range";
   using Reply = RangeReply;
   std::uint32_t slot = 0;
   MOTHWALK_FIELDS(slot)
 };
 struct FetchRecords {
-  static constexpr View kind = "store.fetch";
+  static constexpr StringView kind = "store.fetch";
   using Reply = RecordsReply;
   std::uint32_t slot = 0;
   std::vector<std::string> keys;
--- a/source/replication/reads.cpp
+++ b/source/replication/reads.cpp
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 }  // namespace
 
-void ReplicatedStore::on_read(Read read, Answer<ReadReply> answer) {
+void ReplicatedStore::on_read(Read read, ReplyCallback<ReadReply> answer) {
   const std::uint32_t slot = slot_of(read.key);
   if (owned_[slot].state != Owned::State::owned || !keeps_key(read.key)) return answer(moved());
   confirm(slot, [this, slot, key = read.key, head_only = read.head_only, answer](bool good) {
@@ -31,11 +31,11 @@
   });
 }
 
-void ReplicatedStore::on_list_slot(const Address& from, ListSlot list, Answer<ListSlotReply> answer) {
+void ReplicatedStore::on_list_slot(const Address& from, ListSlot list, ReplyCallback<ListSlotReply> answer) {
   if (from != self_.address || list.slot >= slot_count || owned_[list.slot].state != Owned::State::owned ||
       owned_[list.slot].epoch != list.epoch)
     return answer(moved());
-  std::map<View, Stamp> known;
+  std::map<StringView, Stamp> known;
   for (const auto& each : list.known) known[each.key] = each.written;
   ListSlotReply reply;
   for (const auto& [key, record] : held_[list.slot].records) {
@@ -49,7 +49,7 @@
   answer(std::move(reply));
 }
 
-void ReplicatedStore::on_confirm_slot(ConfirmSlot request, Answer<ConfirmReply> answer) {
+void ReplicatedStore::on_confirm_slot(ConfirmSlot request, ReplyCallback<ConfirmReply> answer) {
   if (request.slot >= slot_count || owned_[request.slot].state != Owned::State::owned ||
       owned_[request.slot].epoch != request.epoch)
     return answer(moved());
--- a/source/replication/record_file.cpp
+++ b/source/replication/record_file.cpp
@@ -7,21 +7,21 @@
 namespace mothwalk {
 namespace {
 
-constexpr View mark = "MWK2", earlier_mark = "MWK1";
+constexpr StringView mark = "MWK2", earlier_mark = "MWK1";
 constexpr std::size_t length_at = 4, length_size = 4, synced_size = 8, checksum_size = 4;
 
 void put_number(Bytes& out, std::uint64_t value, std::size_t size) {
   for (std::size_t index = 0; index < size; ++index) out.push_back(static_cast<char>((value >> (8 * index)) & 255));
 }
 
-std::uint64_t get_number(View bytes, std::size_t at, std::size_t size) {
+std::uint64_t get_number(StringView bytes, std::size_t at, std::size_t size) {
   std::uint64_t value = 0;
   for (std::size_t index = size; index > 0; --index)
     value = (value << 8) | static_cast<unsigned char>(bytes[at + index - 1]);
   return value;
 }
 
-std::uint32_t checksum(View lengths, View payload) {
+std::uint32_t checksum(StringView lengths, StringView payload) {
   boost::crc_32_type crc;
   crc.process_bytes(lengths.data(), lengths.size());
   crc.process_bytes(payload.data(), payload.size());
@@ -31,11 +31,11 @@
 struct Frame {
   std::size_t size = 0;  // of the whole frame, in bytes
   std::uint64_t synced = 0;
-  View payload;
+  StringView payload;
 };
 
-std::optional<Frame> frame_at(View bytes, std::size_t at) {
-  const View rest = bytes.substr(at);
+std::optional<Frame> frame_at(StringView bytes, std::size_t at) {
+  const StringView rest = bytes.substr(at);
   const bool earlier = rest.starts_with(earlier_mark);
   if (!earlier && !rest.starts_with(mark)) return std::nullopt;
   const std::size_t lengths = length_size + (earlier ? 0 : synced_size);
@@ -53,9 +53,9 @@
 }
 
 // Whether a sound frame behind the broken place states that the place had been synced.
-bool synced_beyond(View bytes, std::size_t broken) {
-  const View shared_part = mark.substr(0, 3);
-  for (std::size_t next = bytes.find(shared_part, broken + 1); next != View::npos;
+bool synced_beyond(StringView bytes, std::size_t broken) {
+  const StringView shared_part = mark.substr(0, 3);
+  for (std::size_t next = bytes.find(shared_part, broken + 1); next != StringView::npos;
        next = bytes.find(shared_part, next + 1)) {
     const auto frame = frame_at(bytes, next);
     if (frame && frame->synced > broken) return true;
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-Bytes frame_payload(View payload, std::uint64_t synced) {
+Bytes frame_payload(StringView payload, std::uint64_t synced) {
   Bytes lengths;
   put_number(lengths, payload.size(), length_size);
   put_number(lengths, synced, synced_size);
@@ -79,7 +79,7 @@
   return frame_payload(to_cbor(entry), synced);
 }
 
-ReadFile read_frames(View bytes) {
+ReadFile read_frames(StringView bytes) {
   ReadFile file;
   std::size_t at = 0;
   while (at < bytes.size()) {
--- a/source/replication/record_file.hpp
+++ b/source/replication/record_file.hpp
@@ -8,7 +8,7 @@
 
 struct DiskEntry {
   std::string what;  // identity, roster, promise, change, install, copies, handover
-  HolderId holder{};
+  StorageNodeId holder{};
   Roster roster{};
   std::uint32_t slot = 0;
   Epoch epoch{};
@@ -28,8 +28,8 @@
 
 // A frame with the payload given, as it stands in the file. `synced` is the length in bytes up to which the file was
 // synced when the frame was made.
-Bytes frame_payload(View payload, std::uint64_t synced);
+Bytes frame_payload(StringView payload, std::uint64_t synced);
 Bytes frame_entry(const DiskEntry& entry, std::uint64_t synced);
-ReadFile read_frames(View bytes);
+ReadFile read_frames(StringView bytes);
 
 }  // namespace mothwalk
--- a/source/replication/record_log.cpp
+++ b/source/replication/record_log.cpp
@@ -6,14 +6,14 @@
 namespace mothwalk {
 
 namespace {
-constexpr std::size_t rewrite_floor = 8u << 20;       // bytes: shorter files are left alone
-constexpr std::size_t rewrite_growth = 3;             // times the size after the last rewrite
-constexpr std::size_t least_gain = 8;                 // an eighth of what is held, for a rewrite on a short disk
-constexpr std::size_t piece_size = 1u << 20;          // of one write to the next file
-constexpr std::size_t least_reserve = 4u << 20;       // bytes kept free for changes of what is held
-constexpr Span stall_span = std::chrono::seconds(1);  // an unanswered order that is older means a stalled disk
-constexpr Span retry_pause = std::chrono::seconds(1);
-constexpr Span abandoned_pause = std::chrono::seconds(5);  // the room that was short is hardly there at once
+constexpr std::size_t rewrite_floor = 8u << 20;           // bytes: shorter files are left alone
+constexpr std::size_t rewrite_growth = 3;                 // times the size after the last rewrite
+constexpr std::size_t least_gain = 8;                     // an eighth of what is held, for a rewrite on a short disk
+constexpr std::size_t piece_size = 1u << 20;              // of one write to the next file
+constexpr std::size_t least_reserve = 4u << 20;           // bytes kept free for changes of what is held
+constexpr Duration stall_span = std::chrono::seconds(1);  // an unanswered order that is older means a stalled disk
+constexpr Duration retry_pause = std::chrono::seconds(1);
+constexpr Duration abandoned_pause = std::chrono::seconds(5);  // the room that was short is hardly there at once
 
 // Bytes of the limit that new state may not take.
 std::size_t reserve_of(std::size_t limit) {
@@ -30,7 +30,7 @@
 
 Result<ReadFile> RecordLog::load() {
   auto bytes = disk_.read_all();
-  if (auto fault = fault_of(bytes)) return *fault;
+  if (auto error = error_of(bytes)) return *error;
   ReadFile file = read_frames(std::get<Bytes>(bytes));
   if (file.damaged) file.entries.clear();
   return file;
--- a/source/replication/record_log.hpp
+++ b/source/replication/record_log.hpp
@@ -5,8 +5,8 @@
 #pragma once
 #include <deque>
 
+#include "interfaces/interfaces.hpp"
 #include "replication/record_file.hpp"
-#include "seams/seams.hpp"
 
 namespace mothwalk {
 
@@ -67,7 +67,7 @@
   std::size_t limit_;
   std::size_t size_ = 0, synced_ = 0;  // of the file in bytes, and how many of them are safe
   std::size_t base_ = 0;               // size after the last rewrite
-  std::deque<Moment> outstanding_;     // when each order that was not answered was given
+  std::deque<TimePoint> outstanding_;  // when each order that was not answered was given
   std::uint64_t appends_ = 0, rewrites_ = 0;
   bool failed_ = false;
 
@@ -75,7 +75,7 @@
   std::uint32_t next_slot_ = 0;  // the next file has those before it
   std::deque<Bytes> next_frames_;
   std::size_t next_size_ = 0, next_synced_ = 0;
-  Moment rewrite_not_before_;
+  TimePoint rewrite_not_before_;
 };
 
 }  // namespace mothwalk
--- a/source/replication/repair.cpp
+++ b/source/replication/repair.cpp
@@ -7,12 +7,12 @@
 namespace mothwalk {
 
 void ReplicatedStore::repair() {
-  std::vector<Seat> others;
+  std::vector<Voter> others;
   for (const auto& seat : roster_.seats)
     if (seat.holder != identity_) others.push_back(seat);
   if (others.empty()) return;
-  const Seat peer = others[random_.below(others.size())];
-  messenger_.ask(peer.address, Digests{}, peer_timeout, [this, peer](Result<DigestsReply> result) {
+  const Voter peer = others[random_.below(others.size())];
+  messenger_.request(peer.address, Digests{}, peer_timeout, [this, peer](Result<DigestsReply> result) {
     auto* reply = std::get_if<DigestsReply>(&result);
     if (reply == nullptr || reply->digests.size() != slot_count) return;
     for (std::uint32_t slot = 0; slot < slot_count; ++slot)
@@ -21,15 +21,15 @@
   });
 }
 
-void ReplicatedStore::repair_slot(const Seat& peer, std::uint32_t slot) {
-  messenger_.ask(peer.address, Range{slot}, peer_timeout, [this, peer, slot](Result<RangeReply> result) {
+void ReplicatedStore::repair_slot(const Voter& peer, std::uint32_t slot) {
+  messenger_.request(peer.address, Range{slot}, peer_timeout, [this, peer, slot](Result<RangeReply> result) {
     auto* range = std::get_if<RangeReply>(&result);
     if (range == nullptr) return;
     FetchRecords fetch{slot, {}};
     for (const auto& theirs : range->stamps)
       if (wanted_for_repair(slot, theirs)) fetch.keys.push_back(theirs.key);
     if (fetch.keys.empty()) return;
-    messenger_.ask(peer.address, fetch, peer_timeout, [this, slot](Result<RecordsReply> fetched) {
+    messenger_.request(peer.address, fetch, peer_timeout, [this, slot](Result<RecordsReply> fetched) {
       if (auto* records = std::get_if<RecordsReply>(&fetched)) keep_repaired(slot, std::move(records->records));
     });
   });
--- a/source/replication/replica.cpp
+++ b/source/replication/replica.cpp
@@ -10,11 +10,11 @@
 using std::chrono::milliseconds;
 }  // namespace
 
-void ReplicatedStore::on_who(Answer<WhoReply> answer) {
-  answer(WhoReply{identity_, self_.address, self_.zone, roster_});
+void ReplicatedStore::on_who(ReplyCallback<IdentifyReply> answer) {
+  answer(IdentifyReply{identity_, self_.address, self_.zone, roster_});
 }
 
-void ReplicatedStore::on_promise(Promise promise, Answer<PromiseReply> answer) {
+void ReplicatedStore::on_promise(Promise promise, ReplyCallback<PromiseReply> answer) {
   if (promise.target != identity_) return answer(not_me());
   if (promise.slot >= slot_count) return answer(not_me());
   Held& held = held_[promise.slot];
@@ -29,7 +29,7 @@
   persist(std::move(entry), [this, promise, answer] {
     const Held& kept = held_[promise.slot];
     PromiseReply reply{kept.promised == promise.epoch, kept.promised, kept.installed, roster_, {}, {}};
-    std::map<View, const RecordStamp*> have;
+    std::map<StringView, const RecordStamp*> have;
     for (const auto& each : promise.have) have[each.key] = &each;
     std::size_t size = 0;
     for (const auto& [key, record] : kept.records) {
@@ -46,8 +46,8 @@
   });
 }
 
-bool ReplicatedStore::accepts(const HolderId& target, const HolderId& owner, std::uint32_t slot, Epoch epoch,
-                              Version roster, const Answer<StoreReply>& answer) {
+bool ReplicatedStore::accepts(const StorageNodeId& target, const StorageNodeId& owner, std::uint32_t slot, Epoch epoch,
+                              Version roster, const ReplyCallback<StoreReply>& answer) {
   if (target != identity_ || slot >= slot_count) {
     answer(not_me());
     return false;
@@ -70,7 +70,7 @@
   return StoreReply{"refused", held.promised, {}, {}};
 }
 
-void ReplicatedStore::raise_promise(std::uint32_t slot, Epoch epoch, const HolderId& owner) {
+void ReplicatedStore::raise_promise(std::uint32_t slot, Epoch epoch, const StorageNodeId& owner) {
   Held& held = held_[slot];
   if (epoch <= held.promised) return;
   held.promised = epoch;
@@ -79,7 +79,7 @@
   persist(DiskEntry{.what = "promise", .holder = owner, .slot = slot, .epoch = epoch}, [] {});
 }
 
-void ReplicatedStore::on_store(Store store, Answer<StoreReply> answer) {
+void ReplicatedStore::on_store(Store store, ReplyCallback<StoreReply> answer) {
   if (!accepts(store.target, store.owner, store.slot, store.epoch, store.roster, answer)) return;
   raise_promise(store.slot, store.epoch, store.owner);
   Held& held = held_[store.slot];
@@ -92,11 +92,11 @@
   const bool roster_change = store.change.key == "roster" && store.change.head;
   DiskEntry entry{.what = "change", .slot = store.slot, .epoch = store.epoch, .change = std::move(store.change)};
   if (roster_change)
-    if (auto next = from_json<Roster>(*entry.change.head); !fault_of(next)) adopt(std::get<Roster>(next));
+    if (auto next = from_json<Roster>(*entry.change.head); !error_of(next)) adopt(std::get<Roster>(next));
   persist(std::move(entry), [answer] { answer(StoreReply{"stored", {}, {}, {}}); });
 }
 
-void ReplicatedStore::on_install(Install install, Answer<StoreReply> answer) {
+void ReplicatedStore::on_install(Install install, ReplyCallback<StoreReply> answer) {
   if (!accepts(install.target, install.owner, install.slot, install.epoch, install.roster, answer)) return;
   raise_promise(install.slot, install.epoch, install.owner);
   Held& held = held_[install.slot];
@@ -110,7 +110,7 @@
   persist(std::move(entry), [answer] { answer(StoreReply{"stored", {}, {}, {}}); });
 }
 
-void ReplicatedStore::on_copies(Copies copies, Answer<StoreReply> answer) {
+void ReplicatedStore::on_copies(Copies copies, ReplyCallback<StoreReply> answer) {
   if (!accepts(copies.target, copies.owner, copies.slot, copies.epoch, copies.roster, answer)) return;
   raise_promise(copies.slot, copies.epoch, copies.owner);
   Held& held = held_[copies.slot];
@@ -124,17 +124,17 @@
   persist(std::move(entry), [answer] { answer(StoreReply{"stored", {}, {}, {}}); });
 }
 
-void ReplicatedStore::on_confirm(Confirm confirm, Answer<StoreReply> answer) {
+void ReplicatedStore::on_confirm(Confirm confirm, ReplyCallback<StoreReply> answer) {
   if (accepts(confirm.target, confirm.owner, confirm.slot, confirm.epoch, confirm.roster, answer))
     answer(StoreReply{"stored", {}, {}, {}});
 }
 
-void ReplicatedStore::on_roster_news(RosterNews news) {
+void ReplicatedStore::on_roster_news(RosterUpdate news) {
   if (news.keeps == self_.keeps && news.roster.version > roster_.version) adopt(news.roster);
 }
 
-void ReplicatedStore::on_settled(Settled settled, Answer<SettledReply> answer) {
-  SettledReply reply;
+void ReplicatedStore::on_settled(SyncStatus settled, ReplyCallback<SyncStatusReply> answer) {
+  SyncStatusReply reply;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot)
     if (owned_[slot].state == Owned::State::owned && owned_[slot].roster == settled.roster) {
       reply.slots.push_back(slot);
@@ -147,13 +147,13 @@
   answer(std::move(reply));
 }
 
-void ReplicatedStore::on_digests(Answer<DigestsReply> answer) {
+void ReplicatedStore::on_digests(ReplyCallback<DigestsReply> answer) {
   DigestsReply reply;
   for (const auto& held : held_) reply.digests.push_back(held.digest);
   answer(std::move(reply));
 }
 
-void ReplicatedStore::on_range(Range range, Answer<RangeReply> answer) {
+void ReplicatedStore::on_range(Range range, ReplyCallback<RangeReply> answer) {
   RangeReply reply;
   if (range.slot < slot_count)
     for (const auto& [key, record] : held_[range.slot].records)
@@ -161,7 +161,7 @@
   answer(std::move(reply));
 }
 
-void ReplicatedStore::on_fetch_records(FetchRecords fetch, Answer<RecordsReply> answer) {
+void ReplicatedStore::on_fetch_records(FetchRecords fetch, ReplyCallback<RecordsReply> answer) {
   RecordsReply reply;
   std::size_t size = 0;
   if (fetch.slot < slot_count)
--- a/source/replication/replicated_store.cpp
+++ b/source/replication/replicated_store.cpp
@@ -3,17 +3,17 @@
 
 #include <algorithm>
 
-#include "news/news.hpp"
+#include "gossip/configuration_gossip.hpp"
 #include "replication/store_internals.hpp"
 
 namespace mothwalk {
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span tick_span = milliseconds(100);
+constexpr Duration tick_span = milliseconds(100);
 constexpr std::size_t most_removed_lots = 200;
 
-bool newsy(View key) {
+bool newsy(StringView key) {
   return !lot_key(key);
 }
 }  // namespace
@@ -29,50 +29,52 @@
       report_(std::move(report)),
       log_(disk, messenger.timers(), log_contents(), disk_limit),
       first_start_(first_start) {
-  messenger_.on_ask<Who>([this](const Address&, Who, Answer<WhoReply> answer) { on_who(std::move(answer)); });
-  messenger_.on_ask<Found>([this](const Address&, Found message, Answer<WhoReply> answer) {
+  messenger_.on_request<IdentifyRequest>(
+      [this](const Address&, IdentifyRequest, ReplyCallback<IdentifyReply> answer) { on_who(std::move(answer)); });
+  messenger_.on_request<FoundRoster>([this](const Address&, FoundRoster message, ReplyCallback<IdentifyReply> answer) {
     on_found(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<Promise>([this](const Address&, Promise message, Answer<PromiseReply> answer) {
+  messenger_.on_request<Promise>([this](const Address&, Promise message, ReplyCallback<PromiseReply> answer) {
     on_promise(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<Store>([this](const Address&, Store message, Answer<StoreReply> answer) {
+  messenger_.on_request<Store>([this](const Address&, Store message, ReplyCallback<StoreReply> answer) {
     on_store(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<Install>([this](const Address&, Install message, Answer<StoreReply> answer) {
+  messenger_.on_request<Install>([this](const Address&, Install message, ReplyCallback<StoreReply> answer) {
     on_install(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<Copies>([this](const Address&, Copies message, Answer<StoreReply> answer) {
+  messenger_.on_request<Copies>([this](const Address&, Copies message, ReplyCallback<StoreReply> answer) {
     on_copies(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<Confirm>([this](const Address&, Confirm message, Answer<StoreReply> answer) {
+  messenger_.on_request<Confirm>([this](const Address&, Confirm message, ReplyCallback<StoreReply> answer) {
     on_confirm(std::move(message), std::move(answer));
   });
-  messenger_.on_tell<RosterNews>([this](const Address&, RosterNews message) { on_roster_news(std::move(message)); });
-  messenger_.on_ask<Settled>([this](const Address&, Settled message, Answer<SettledReply> answer) {
+  messenger_.on_message<RosterUpdate>(
+      [this](const Address&, RosterUpdate message) { on_roster_news(std::move(message)); });
+  messenger_.on_request<SyncStatus>([this](const Address&, SyncStatus message, ReplyCallback<SyncStatusReply> answer) {
     on_settled(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<Retirement>([this](const Address&, Retirement request, Answer<RetirementReply> answer) {
+  messenger_.on_request<Retirement>([this](const Address&, Retirement request, ReplyCallback<RetirementReply> answer) {
     retirement(std::move(request), std::move(answer));
   });
-  messenger_.on_ask<Digests>(
-      [this](const Address&, Digests, Answer<DigestsReply> answer) { on_digests(std::move(answer)); });
-  messenger_.on_ask<Range>([this](const Address&, Range message, Answer<RangeReply> answer) {
+  messenger_.on_request<Digests>(
+      [this](const Address&, Digests, ReplyCallback<DigestsReply> answer) { on_digests(std::move(answer)); });
+  messenger_.on_request<Range>([this](const Address&, Range message, ReplyCallback<RangeReply> answer) {
     on_range(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<FetchRecords>([this](const Address&, FetchRecords message, Answer<RecordsReply> answer) {
+  messenger_.on_request<FetchRecords>([this](const Address&, FetchRecords message, ReplyCallback<RecordsReply> answer) {
     on_fetch_records(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<Write>([this](const Address&, Write request, Answer<WriteReply> answer) {
+  messenger_.on_request<Write>([this](const Address&, Write request, ReplyCallback<WriteReply> answer) {
     write(std::move(request), std::move(answer));
   });
-  messenger_.on_ask<Read>([this](const Address&, Read message, Answer<ReadReply> answer) {
+  messenger_.on_request<Read>([this](const Address&, Read message, ReplyCallback<ReadReply> answer) {
     on_read(std::move(message), std::move(answer));
   });
-  messenger_.on_ask<ListSlot>([this](const Address& from, ListSlot message, Answer<ListSlotReply> answer) {
+  messenger_.on_request<ListSlot>([this](const Address& from, ListSlot message, ReplyCallback<ListSlotReply> answer) {
     on_list_slot(from, std::move(message), std::move(answer));
   });
-  messenger_.on_ask<ConfirmSlot>([this](const Address&, ConfirmSlot message, Answer<ConfirmReply> answer) {
+  messenger_.on_request<ConfirmSlot>([this](const Address&, ConfirmSlot message, ReplyCallback<ConfirmReply> answer) {
     on_confirm_slot(std::move(message), std::move(answer));
   });
 }
@@ -91,7 +93,7 @@
 }
 
 void ReplicatedStore::tick() {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   ++ticks_;
   watch_disk();
   const auto configuration = shared_state_.configuration.get();
@@ -105,9 +107,9 @@
     const auto members = shared_state_.members.get();
     for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
       Owned& owned = owned_[slot];
-      if (owned.state == Owned::State::owned && owned.roster != roster_.version) step_down(slot, Span{});
+      if (owned.state == Owned::State::owned && owned.roster != roster_.version) step_down(slot, Duration{});
       if (owned.state != Owned::State::none || now < owned.not_before) continue;
-      const Seat* first = slot_owner(roster_, *members, slot);
+      const Voter* first = slot_owner(roster_, *members, slot);
       if (first != nullptr && first->holder == identity_) take(slot);
     }
     resume_transfers();
@@ -163,13 +165,14 @@
 }
 
 void ReplicatedStore::spread(const std::vector<const Record*>& records) {
-  Spread news;
+  PushUpdates news;
   for (const Record* record : records)
-    if (newsy(record->key)) news.items.push_back(NewsItem{record->key, record->stamp, record->removed, record->head});
-  if (!news.items.empty()) messenger_.tell(self_.address, news);
+    if (newsy(record->key))
+      news.items.push_back(ConfigurationUpdate{record->key, record->stamp, record->removed, record->head});
+  if (!news.items.empty()) messenger_.send(self_.address, news);
 }
 
-void ReplicatedStore::step_down(std::uint32_t slot, Span pause) {
+void ReplicatedStore::step_down(std::uint32_t slot, Duration pause) {
   Owned& owned = owned_[slot];
   const bool was = owned.state == Owned::State::owned;
   owned.state = Owned::State::none;
@@ -205,7 +208,7 @@
 void ReplicatedStore::forget_removed_lots() {
   for (std::uint32_t slot = 0; slot < slot_count; ++slot)
     if (owned_[slot].state == Owned::State::owned && held_[slot].removed_lots >= most_removed_lots)
-      step_down(slot, Span{});
+      step_down(slot, Duration{});
 }
 
 }  // namespace mothwalk
--- a/source/replication/replicated_store.hpp
+++ b/source/replication/replicated_store.hpp
@@ -15,7 +15,7 @@
 class ReplicatedStore {
  public:
   struct Report {
-    std::function<void(View)> note = [](View) {
+    std::function<void(StringView)> note = [](StringView) {
     };
   };
   // first_start: whether this is the first life of the whole fleet, as the host was told; absent where the host is told
@@ -23,9 +23,9 @@
   ReplicatedStore(Messenger& messenger, SharedState& shared_state, Disk& disk, RandomSource& random, Member self,
                   std::vector<Address> seeds, Report report, std::optional<bool> first_start = std::nullopt,
                   std::size_t disk_limit = 0);
-  // Reads the file; false with a fault where the data can't be used.
-  Result<Done> load();
-  HolderId identity() const { return identity_; }
+  // Reads the file; false with an error where the data can't be used.
+  Result<Success> load();
+  StorageNodeId identity() const { return identity_; }
   void start();
   std::uint64_t syncs() const { return log_.appends(); }
   const RecordLog& log() const { return log_; }
@@ -45,13 +45,13 @@
   struct Held {  // what this holder keeps of a slot, as any copy does
     Records records;
     Epoch promised, installed;
-    HolderId promised_to;
+    StorageNodeId promised_to;
     std::uint64_t digest = 0;
     std::size_t removed_lots = 0, bytes = 0;  // bytes: of all records, about
   };
   struct Pending {
     Write write;
-    Answer<WriteReply> answer;
+    ReplyCallback<WriteReply> answer;
   };
   struct Queue {
     bool busy = false;
@@ -62,40 +62,40 @@
     enum class State { none, taking, owned } state = State::none;
     Epoch epoch;
     Version roster;
-    Moment not_before;
+    TimePoint not_before;
     std::map<std::string, Queue> queues;
-    std::set<HolderId> whole;    // the seats that hold the hand-over
-    std::uint32_t refusals = 0;  // of takings in a row, by seats that had promised a higher epoch
+    std::set<StorageNodeId> whole;  // the seats that hold the hand-over
+    std::uint32_t refusals = 0;     // of takings in a row, by seats that had promised a higher epoch
     bool confirming = false;
     std::vector<std::function<void(bool)>> confirm_now, confirm_next;
   };
 
   // What other replicas and daemons ask; each answers once.
-  void on_who(Answer<WhoReply> answer);
-  void on_found(Found found, Answer<WhoReply> answer);
-  void on_promise(Promise promise, Answer<PromiseReply> answer);
-  void on_store(Store store, Answer<StoreReply> answer);
-  void on_install(Install install, Answer<StoreReply> answer);
-  void on_copies(Copies copies, Answer<StoreReply> answer);
-  void on_confirm(Confirm confirm, Answer<StoreReply> answer);
-  void on_roster_news(RosterNews news);
-  void on_settled(Settled settled, Answer<SettledReply> answer);
-  void on_digests(Answer<DigestsReply> answer);
-  void on_range(Range range, Answer<RangeReply> answer);
-  void on_fetch_records(FetchRecords fetch, Answer<RecordsReply> answer);
-  void on_read(Read read, Answer<ReadReply> answer);
-  void on_list_slot(const Address& from, ListSlot list, Answer<ListSlotReply> answer);
-  void on_confirm_slot(ConfirmSlot request, Answer<ConfirmReply> answer);
+  void on_who(ReplyCallback<IdentifyReply> answer);
+  void on_found(FoundRoster found, ReplyCallback<IdentifyReply> answer);
+  void on_promise(Promise promise, ReplyCallback<PromiseReply> answer);
+  void on_store(Store store, ReplyCallback<StoreReply> answer);
+  void on_install(Install install, ReplyCallback<StoreReply> answer);
+  void on_copies(Copies copies, ReplyCallback<StoreReply> answer);
+  void on_confirm(Confirm confirm, ReplyCallback<StoreReply> answer);
+  void on_roster_news(RosterUpdate news);
+  void on_settled(SyncStatus settled, ReplyCallback<SyncStatusReply> answer);
+  void on_digests(ReplyCallback<DigestsReply> answer);
+  void on_range(Range range, ReplyCallback<RangeReply> answer);
+  void on_fetch_records(FetchRecords fetch, ReplyCallback<RecordsReply> answer);
+  void on_read(Read read, ReplyCallback<ReadReply> answer);
+  void on_list_slot(const Address& from, ListSlot list, ReplyCallback<ListSlotReply> answer);
+  void on_confirm_slot(ConfirmSlot request, ReplyCallback<ConfirmReply> answer);
   // Whether a message of an owner is taken under the promise and the roster in force; answers it where it is not.
-  bool accepts(const HolderId& target, const HolderId& owner, std::uint32_t slot, Epoch epoch, Version roster,
-               const Answer<StoreReply>& answer);
+  bool accepts(const StorageNodeId& target, const StorageNodeId& owner, std::uint32_t slot, Epoch epoch, Version roster,
+               const ReplyCallback<StoreReply>& answer);
   // Promises a higher epoch to the owner that a message names.
-  void raise_promise(std::uint32_t slot, Epoch epoch, const HolderId& owner);
+  void raise_promise(std::uint32_t slot, Epoch epoch, const StorageNodeId& owner);
 
   void persist(DiskEntry entry, std::function<void()> then);
   RecordLog::Contents log_contents();
   std::vector<DiskEntry> slot_entries(std::uint32_t slot) const;
-  Result<Done> replay(DiskEntry entry);
+  Result<Success> replay(DiskEntry entry);
   void take_new_identity();
   void watch_disk();
   void put_record(Held& held, Record record);
@@ -112,23 +112,23 @@
   void tick();
   bool lots_only() const { return self_.keeps == "lots"; }
   bool has_room(std::size_t bytes) const { return !lots_only() || log_.takes(bytes); }
-  bool keeps_key(View key) const { return self_.keeps.empty() || lot_key(key) == lots_only(); }
+  bool keeps_key(StringView key) const { return self_.keeps.empty() || lot_key(key) == lots_only(); }
   void found();
   void gather();
   void propose(Roster roster, std::size_t seed);
   void take(std::uint32_t slot);
   struct Taking {  // what the promises of a majority brought
     Epoch installed;
-    Records newer;                                                // than what this holder has
-    std::map<std::string, std::pair<RecordStamp, Seat>> lacking;  // newer still, and who has it
-    std::map<std::string, Stamp> raised;                          // of what this holder has the content of
+    Records newer;                                                 // than what this holder has
+    std::map<std::string, std::pair<RecordStamp, Voter>> lacking;  // newer still, and who has it
+    std::map<std::string, Stamp> raised;                           // of what this holder has the content of
     std::vector<RecordStamp> content;
     std::size_t stored = 0, left = 0;  // seats that have all of it, and those that have not said so
     std::size_t waiting = 0;           // of the latter those that get copies
   };
   using TakingPointer = std::shared_ptr<Taking>;
   struct Transfer {  // records of a slot that a seat lacks
-    Seat seat;
+    Voter seat;
     std::uint32_t slot = 0;
     Epoch epoch;
     Version roster;
@@ -142,10 +142,10 @@
     bool sending = false;
   };
   void queue_transfer(TransferPointer transfer);
-  bool transferring(const HolderId& holder, std::uint32_t slot) const;
+  bool transferring(const StorageNodeId& holder, std::uint32_t slot) const;
   bool current(const Transfer& transfer) const;
   bool needed(const Transfer& transfer) const;
-  void send_copies(const HolderId& holder);
+  void send_copies(const StorageNodeId& holder);
   Copies next_copies(Transfer& transfer);
   const Record* record_to_copy(const Transfer& transfer, const std::string& key) const;
   void copied(const TransferPointer& transfer, const StoreReply* reply);
@@ -153,18 +153,18 @@
   void taken(std::uint32_t slot, Epoch epoch, TakingPointer taking);
   void hand_over(std::uint32_t slot, Epoch epoch, TakingPointer taking);
   void install_at_returned();
-  void install_at(const Seat& seat, std::uint32_t slot, Epoch epoch, Version roster, TakingPointer taking, int times);
-  void retirement(const Retirement& asked, Answer<RetirementReply> answer);
+  void install_at(const Voter& seat, std::uint32_t slot, Epoch epoch, Version roster, TakingPointer taking, int times);
+  void retirement(const Retirement& asked, ReplyCallback<RetirementReply> answer);
   Address retiring_holder(const Retirement& asked, const Roster& roster) const;
   std::set<Address> remaining_holders(const Roster& roster, const Address& without) const;
   // What is known of the holder, without the state of the copies; approves a retirement that begins. None while another
   // retirement's outcome decides whether this one may begin.
   std::optional<RetirementReply> review(const Retirement& asked, const Roster& roster);
-  Span refused_pause(Owned& owned);
-  void step_down(std::uint32_t slot, Span pause);
-  void fail_takeover(std::uint32_t slot, const std::string& reason, Span pause);
+  Duration refused_pause(Owned& owned);
+  void step_down(std::uint32_t slot, Duration pause);
+  void fail_takeover(std::uint32_t slot, const std::string& reason, Duration pause);
   void publish();
-  void write(Write write, Answer<WriteReply> answer);
+  void write(Write write, ReplyCallback<WriteReply> answer);
   void run(std::uint32_t slot, const std::string& key);
   void commit(std::uint32_t slot, const Change& change, const Roster& also, std::function<void(bool)> done);
   void confirm(std::uint32_t slot, std::function<void(bool)> then);
@@ -172,7 +172,7 @@
   void spread(const std::vector<const Record*>& records);
   void forget_removed_lots();
   void repair();
-  void repair_slot(const Seat& peer, std::uint32_t slot);
+  void repair_slot(const Voter& peer, std::uint32_t slot);
   bool wanted_for_repair(std::uint32_t slot, const Record& theirs) const;
   void keep_repaired(std::uint32_t slot, std::vector<Record> records);
   void roster_duty();
@@ -186,14 +186,14 @@
     wiped
   };                // in the order in which seats are given up, the last one first
   struct Watched {  // what a roster's duty has seen of its holders, by identity
-    std::map<HolderId, Moment> missing_since, first_seen;
-    std::optional<Moment> short_since;  // since when it lacks seats that live holders could take
-    Moment changed;                     // when this holder last changed the roster
+    std::map<StorageNodeId, TimePoint> missing_since, first_seen;
+    std::optional<TimePoint> short_since;  // since when it lacks seats that live holders could take
+    TimePoint changed;                     // when this holder last changed the roster
   };
-  SeatState seat_state(const Seat& seat, Watched& watched, Moment newest) const;
+  SeatState seat_state(const Voter& seat, Watched& watched, TimePoint newest) const;
   bool retired(const Address& address) const;
   std::vector<const Member*> spares(const Members& members, const Roster& current, const std::string& keeps,
-                                    Watched& watched, Moment* newest) const;
+                                    Watched& watched, TimePoint* newest) const;
   std::optional<Roster> next_roster(const std::string& key, const Roster& current, const std::string& keeps);
   // Whether dead seats or too few of them are left, and for how long they have been; tells when they no longer are.
   void watch_seats(const std::string& key, const Roster& current, bool lacking);
@@ -204,16 +204,16 @@
     Version roster;
     std::set<std::uint32_t> slots;
   };
-  static void note_whole_slots(Copied& copied, const std::vector<SettledReply>& replies);
+  static void note_whole_slots(Copied& copied, const std::vector<SyncStatusReply>& replies);
   // Asks all seats what they hold, and notes the slots that are whole on each of them.
   void look_at_copies(const std::string& key, const Roster& current, std::function<void()> then);
   void change_when_settled(const std::string& key, const Roster& current, Roster next);
   void change_roster(const std::string& key, Roster next);
   template <class Message, class Then>
-  void ask_seat(const Seat& seat, Message message, Span timeout, Then then) {
+  void ask_seat(const Voter& seat, Message message, Duration timeout, Then then) {
     message.target = seat.holder;
     message.owner = identity_;
-    messenger_.ask(seat.address, message, timeout, then);
+    messenger_.request(seat.address, message, timeout, then);
   }
 
   Messenger& messenger_;
@@ -222,29 +222,29 @@
   Member self_;
   std::vector<Address> seeds_;
   Report report_;
-  HolderId identity_;
+  StorageNodeId identity_;
   Roster roster_;
   std::vector<Held> held_{slot_count};
   std::vector<Owned> owned_{slot_count};
-  Moment started_;
+  TimePoint started_;
   RecordLog log_;
   ReadFile file_;         // as it was found, without its entries
   bool durable_ = false;  // whether the identity is known to be on the disk
   std::uint64_t commits_ = 0, ticks_ = 0;
   StoreCounts counts_;
-  std::map<HolderId, SeatTransfers> transfers_;
-  Moment adopted_;  // when the roster in force became known here
+  std::map<StorageNodeId, SeatTransfers> transfers_;
+  TimePoint adopted_;  // when the roster in force became known here
   std::optional<bool> first_start_;
   bool founding_ = false;
-  std::map<HolderId, Seat> candidates_;  // for the first roster, as the seeds told, and since when they are these
-  Moment candidates_since_;
+  std::map<StorageNodeId, Voter> candidates_;  // for the first roster, as the seeds told, and since when they are these
+  TimePoint candidates_since_;
   std::set<std::string> unsettled_;         // the keys of rosters that wait for their slots before they can change
   std::set<std::string> changing_;          // the keys of rosters whose change is under way
   std::map<std::string, Watched> watched_;  // by the roster's key
   std::map<std::string, Copied> copied_;
-  std::map<Address, Moment> approved_;  // retirements that were allowed to begin and may not be in the news yet
-  std::size_t newcomers_ = 0;           // holders of lots seen before their first roster, and since when so many
-  Moment newcomers_since_;
+  std::map<Address, TimePoint> approved_;  // retirements that were allowed to begin and may not be in the news yet
+  std::size_t newcomers_ = 0;              // holders of lots seen before their first roster, and since when so many
+  TimePoint newcomers_since_;
 };
 
 }  // namespace mothwalk
--- a/source/replication/retirement.cpp
+++ b/source/replication/retirement.cpp
@@ -8,9 +8,9 @@
 namespace mothwalk {
 
 namespace {
-constexpr Span members_settle = std::chrono::seconds(4);  // longer than a session stands without a beat
-constexpr Span approval_span = std::chrono::seconds(10);  // until a mark that was written is surely in the news
-constexpr std::size_t fewest_remaining = 3;               // holders, of which one may be lost
+constexpr Duration members_settle = std::chrono::seconds(4);  // longer than a session stands without a beat
+constexpr Duration approval_span = std::chrono::seconds(10);  // until a mark that was written is surely in the news
+constexpr std::size_t fewest_remaining = 3;                   // holders, of which one may be lost
 }  // namespace
 
 Address ReplicatedStore::retiring_holder(const Retirement& asked, const Roster& roster) const {
@@ -37,7 +37,7 @@
 }
 
 std::optional<RetirementReply> ReplicatedStore::review(const Retirement& asked, const Roster& roster) {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   std::erase_if(approved_, [now](const auto& each) { return now - each.second > approval_span; });
   RetirementReply reply;
   reply.holder = retiring_holder(asked, roster);
@@ -59,7 +59,7 @@
   return reply;
 }
 
-void ReplicatedStore::retirement(const Retirement& asked, Answer<RetirementReply> answer) {
+void ReplicatedStore::retirement(const Retirement& asked, ReplyCallback<RetirementReply> answer) {
   const std::uint32_t slot = slot_of(asked.roster);
   if ((asked.roster != "roster" && asked.roster != lot_roster_key) || owned_[slot].state != Owned::State::owned ||
       !keeps_key(asked.roster))
@@ -70,7 +70,7 @@
         changing_.contains(asked.roster))
       return answer(moved());
     auto read = from_json<Roster>(found->second.head);
-    if (fault_of(read) != nullptr) return answer(moved());
+    if (error_of(read) != nullptr) return answer(moved());
     const Roster roster = std::get<Roster>(std::move(read));
     const auto reviewed = review(asked, roster);
     if (!reviewed) return answer(moved());
@@ -91,30 +91,30 @@
 
 void ReplicatedStore::look_at_copies(const std::string& key, const Roster& current, std::function<void()> then) {
   if (Copied& copied = copied_[key]; copied.roster != current.version) copied = Copied{current.version, {}};
-  auto replies = std::make_shared<std::vector<SettledReply>>();
+  auto replies = std::make_shared<std::vector<SyncStatusReply>>();
   auto left = std::make_shared<std::size_t>(current.seats.size());
   for (const auto& seat : current.seats)
-    messenger_.ask(seat.address, Settled{current.version}, peer_timeout,
-                   [this, replies, left, key, version = current.version, seats = current.seats.size(),
-                    then](Result<SettledReply> result) {
-                     if (auto* settled = std::get_if<SettledReply>(&result);
-                         settled != nullptr && settled->installed.size() == slot_count &&
-                         settled->digests.size() == slot_count && settled->epochs.size() == settled->slots.size())
-                       replies->push_back(std::move(*settled));
-                     if (--*left > 0) return;
-                     Copied& copied = copied_[key];
-                     if (copied.roster == version && replies->size() == seats) note_whole_slots(copied, *replies);
-                     then();
-                   });
+    messenger_.request(seat.address, SyncStatus{current.version}, peer_timeout,
+                       [this, replies, left, key, version = current.version, seats = current.seats.size(),
+                        then](Result<SyncStatusReply> result) {
+                         if (auto* settled = std::get_if<SyncStatusReply>(&result);
+                             settled != nullptr && settled->installed.size() == slot_count &&
+                             settled->digests.size() == slot_count && settled->epochs.size() == settled->slots.size())
+                           replies->push_back(std::move(*settled));
+                         if (--*left > 0) return;
+                         Copied& copied = copied_[key];
+                         if (copied.roster == version && replies->size() == seats) note_whole_slots(copied, *replies);
+                         then();
+                       });
 }
 
 // A slot is whole where each seat has what its owner has.
-void ReplicatedStore::note_whole_slots(Copied& copied, const std::vector<SettledReply>& replies) {
+void ReplicatedStore::note_whole_slots(Copied& copied, const std::vector<SyncStatusReply>& replies) {
   for (const auto& owner : replies)
     for (std::size_t index = 0; index < owner.slots.size(); ++index) {
       const std::uint32_t number = owner.slots[index];
       if (number >= slot_count) continue;
-      const bool whole = std::all_of(replies.begin(), replies.end(), [&](const SettledReply& copy) {
+      const bool whole = std::all_of(replies.begin(), replies.end(), [&](const SyncStatusReply& copy) {
         return copy.installed[number] >= owner.epochs[index] || copy.digests[number] == owner.digests[number];
       });
       if (whole) copied.slots.insert(number);
--- a/source/replication/roster_changes.cpp
+++ b/source/replication/roster_changes.cpp
@@ -9,23 +9,23 @@
 namespace {
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-constexpr Span replace_after = std::chrono::seconds(10);
-constexpr Span replaced_after = milliseconds(1000);  // where another holder came about then
+constexpr Duration replace_after = std::chrono::seconds(10);
+constexpr Duration replaced_after = milliseconds(1000);  // where another holder came about then
 // A successor may stand before the end of its forerunner's session is noticed, or be started before it by plan.
-constexpr Span successor_window = seconds(6);
-constexpr Span lots_founding_pause = milliseconds(1500);
+constexpr Duration successor_window = seconds(6);
+constexpr Duration lots_founding_pause = milliseconds(1500);
 constexpr std::size_t control_seats = 5, fewest_seats = 3;
 // Lots take long to copy: two more seats bear the next losses while those before them are still being made good.
 constexpr std::size_t lot_seats = 7;
-constexpr std::uint64_t joining_ticks = 6;         // between looks at what joining seats hold
-constexpr Span settled_limit = milliseconds(300);  // a seat that is busy for longer is asked again
+constexpr std::uint64_t joining_ticks = 6;             // between looks at what joining seats hold
+constexpr Duration settled_limit = milliseconds(300);  // a seat that is busy for longer is asked again
 
 std::size_t seats_wanted(const std::string& keeps) {
   return keeps == "lots" ? lot_seats : control_seats;
 }
 
 bool joining(const Roster& roster) {
-  return std::any_of(roster.seats.begin(), roster.seats.end(), [](const Seat& seat) { return seat.joining; });
+  return std::any_of(roster.seats.begin(), roster.seats.end(), [](const Voter& seat) { return seat.joining; });
 }
 }  // namespace
 
@@ -56,7 +56,7 @@
   if (changing_.contains(key)) return;
   if (auto found = held_[slot].records.find(key); found != held_[slot].records.end()) {
     auto current = from_json<Roster>(found->second.head);
-    if (fault_of(current) != nullptr) return;
+    if (error_of(current) != nullptr) return;
     const Roster& roster = std::get<Roster>(current);
     if (auto next = next_roster(key, roster, "lots"))
       change_when_settled(key, roster, std::move(*next));
@@ -67,7 +67,7 @@
   std::size_t seen = 0;
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
     seen += member.keeps_lots() && !member.keeps_control();
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   if (seen != newcomers_) newcomers_since_ = now;
   newcomers_ = seen;
   if (seen == 0 || now - newcomers_since_ < (seen < fewest_seats ? seconds(6) : lots_founding_pause)) return;
@@ -78,16 +78,16 @@
 }
 
 // Whether a seat's holder is to be replaced, and how surely.
-ReplicatedStore::SeatState ReplicatedStore::seat_state(const Seat& seat, Watched& watched, Moment newest) const {
+ReplicatedStore::SeatState ReplicatedStore::seat_state(const Voter& seat, Watched& watched, TimePoint newest) const {
   const auto members = shared_state_.members.get();
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   const Member* member = members->holder(seat.holder);
   const bool there = member != nullptr && !member->stalled;
   if (there) {
     watched.missing_since.erase(seat.holder);
     return retired(seat.address) ? SeatState::retired : SeatState::there;
   }
-  const Moment since = watched.missing_since.try_emplace(seat.holder, now).first->second;
+  const TimePoint since = watched.missing_since.try_emplace(seat.holder, now).first->second;
   // A wiped machine is back under another identity, so its old seat has nobody to wait for.
   auto at_address = members->all.find(seat.address);
   if (member == nullptr && at_address != members->all.end() && !at_address->second.holder.empty())
@@ -108,8 +108,9 @@
 // that was never seen before. To who has just taken the duty over all are new: it can't tell, and dropping a seat that
 // would have come back costs little.
 std::vector<const Member*> ReplicatedStore::spares(const Members& members, const Roster& current,
-                                                   const std::string& keeps, Watched& watched, Moment* newest) const {
-  const Moment now = messenger_.timers().now();
+                                                   const std::string& keeps, Watched& watched,
+                                                   TimePoint* newest) const {
+  const TimePoint now = messenger_.timers().now();
   std::map<ZoneId, std::size_t> seats_in;
   for (const auto& seat : current.seats) ++seats_in[seat.zone];
   std::vector<const Member*> list;
@@ -134,9 +135,9 @@
                                                    const std::string& keeps) {
   Watched& watched = watched_[key];
   const auto members = shared_state_.members.get();
-  Moment newest;
+  TimePoint newest;
   const std::vector<const Member*> spare = spares(*members, current, keeps, watched, &newest);
-  const Seat* gone = nullptr;
+  const Voter* gone = nullptr;
   SeatState worst = SeatState::there;
   for (const auto& seat : current.seats)
     if (const SeatState state = seat_state(seat, watched, newest); state > worst) {
@@ -154,9 +155,9 @@
   const bool dead = worst > SeatState::missing;
   const bool may_drop = gone != nullptr && (left >= fewest_seats || (dead && !spare.empty() && left >= 2));
   if (may_drop && (dead || left >= wanted || spare.empty()))
-    std::erase_if(next.seats, [&](const Seat& seat) { return seat.holder == gone->holder; });
+    std::erase_if(next.seats, [&](const Voter& seat) { return seat.holder == gone->holder; });
   else if (!spare.empty() && left < wanted)
-    next.seats.push_back(Seat{spare[0]->holder, spare[0]->address, spare[0]->zone, spare[0]->name, !founding});
+    next.seats.push_back(Voter{spare[0]->holder, spare[0]->address, spare[0]->zone, spare[0]->name, !founding});
   else if (joining(current) && copied_whole(key, current))
     for (auto& seat : next.seats) seat.joining = false;
   else
@@ -179,7 +180,7 @@
 void ReplicatedStore::watch_seats(const std::string& key, const Roster& current, bool lacking) {
   if (current.version == Version{}) return;  // it is being founded
   Watched& watched = watched_[key];
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   if (lacking) {
     if (!watched.short_since) watched.short_since = now;
     counts_.short_of_seats[key] = static_cast<std::uint64_t>((now - *watched.short_since).count() / 1000);
@@ -203,34 +204,34 @@
   auto count = std::make_shared<Count>();
   // Who is not there owns nothing; waiting for its answer would only delay the next question.
   const auto members = shared_state_.members.get();
-  std::vector<Seat> seats = current.seats;
-  std::erase_if(seats, [&](const Seat& seat) { return members->holder(seat.holder) == nullptr; });
+  std::vector<Voter> seats = current.seats;
+  std::erase_if(seats, [&](const Voter& seat) { return members->holder(seat.holder) == nullptr; });
   count->left = seats.size();
   if (seats.empty()) changing_.erase(key);
   for (const auto& seat : seats)
-    messenger_.ask(seat.address, Settled{current.version}, settled_limit,
-                   [this, count, key, next, version = current.version](Result<SettledReply> result) {
-                     --count->left;
-                     if (count->over) return;
-                     if (auto* reply = std::get_if<SettledReply>(&result))
-                       count->covered.insert(reply->slots.begin(), reply->slots.end());
-                     count->over = count->covered.size() == slot_count;
-                     if (count->over) unsettled_.erase(key);
-                     if (count->over && (key != "roster" || roster_.version == version))
-                       return change_roster(key, next);
-                     if (count->over || count->left == 0) changing_.erase(key);
-                   });
+    messenger_.request(seat.address, SyncStatus{current.version}, settled_limit,
+                       [this, count, key, next, version = current.version](Result<SyncStatusReply> result) {
+                         --count->left;
+                         if (count->over) return;
+                         if (auto* reply = std::get_if<SyncStatusReply>(&result))
+                           count->covered.insert(reply->slots.begin(), reply->slots.end());
+                         count->over = count->covered.size() == slot_count;
+                         if (count->over) unsettled_.erase(key);
+                         if (count->over && (key != "roster" || roster_.version == version))
+                           return change_roster(key, next);
+                         if (count->over || count->left == 0) changing_.erase(key);
+                       });
 }
 
 void ReplicatedStore::change_roster(const std::string& key, Roster next) {
   const std::uint32_t slot = slot_of(key);
   changing_.insert(key);
   if (owned_[slot].state != Owned::State::owned) return void(changing_.erase(key));
-  const Moment now = messenger_.timers().now();
-  Moment& changed = watched_[key].changed;
+  const TimePoint now = messenger_.timers().now();
+  TimePoint& changed = watched_[key].changed;
   report_.note("The roster " + key + " goes to version " + std::to_string(next.version.value) + " with " +
                std::to_string(next.seats.size()) + " seats" +
-               (changed == Moment{}
+               (changed == TimePoint{}
                     ? std::string(".")
                     : ", " + std::to_string((now - changed).count() / 1000) + " ms after the last change."));
   changed = now;
@@ -241,8 +242,8 @@
   request.fence = owned_[slot].epoch.value;
   write(std::move(request), [this, key, next](Result<WriteReply> result) {
     changing_.erase(key);
-    if (fault_of(result) == nullptr && key == lot_roster_key)
-      for (const auto& seat : next.seats) messenger_.tell(seat.address, RosterNews{next, "lots"});
+    if (error_of(result) == nullptr && key == lot_roster_key)
+      for (const auto& seat : next.seats) messenger_.send(seat.address, RosterUpdate{next, "lots"});
   });
 }
 
--- a/source/replication/slot_records.cpp
+++ b/source/replication/slot_records.cpp
@@ -47,7 +47,7 @@
       missing.push_back(each.key);
   }
   if (!missing.empty()) return missing;
-  std::set<View> named;
+  std::set<StringView> named;
   for (const auto& each : content) {
     named.insert(each.key);
     Record& mine = held.records[each.key];
--- a/source/replication/store_file.cpp
+++ b/source/replication/store_file.cpp
@@ -7,34 +7,34 @@
 namespace mothwalk {
 
 namespace {
-Fault unusable(const std::string& what) {
-  return Fault{FaultKind::damaged, "record_file", what,
+Error unusable(const std::string& what) {
+  return Error{ErrorKind::damaged, "record_file", what,
                "empty the data folder so that this machine joins as a new holder"};
 }
 }  // namespace
 
-Result<Done> ReplicatedStore::load() {
+Result<Success> ReplicatedStore::load() {
   auto read = log_.load();
-  if (auto fault = fault_of(read)) return *fault;
+  if (auto error = error_of(read)) return *error;
   file_ = std::get<ReadFile>(std::move(read));
   if (file_.damaged)
     report_.note("The record file is damaged; its copies come back from peers and this folder takes a new identity.");
   else if (file_.torn)
     report_.note("A torn tail of the record file was cut.");
   for (auto& entry : std::exchange(file_.entries, {}))
-    if (auto replayed = replay(std::move(entry)); fault_of(replayed)) return replayed;
+    if (auto replayed = replay(std::move(entry)); error_of(replayed)) return replayed;
   if (identity_.empty()) take_new_identity();
   self_.holder = identity_;
   tell_seats();
-  return Done{};
+  return Success{};
 }
 
-Result<Done> ReplicatedStore::replay(DiskEntry entry) {
+Result<Success> ReplicatedStore::replay(DiskEntry entry) {
   if (entry.slot >= slot_count) return unusable("a record names slot " + std::to_string(entry.slot));
   Held& held = held_[entry.slot];
   if (entry.what == "identity") {
     if (entry.address != self_.address)
-      return Fault{FaultKind::conflict, "data_folder", "the folder belongs to the holder at " + entry.address.text,
+      return Error{ErrorKind::conflict, "data_folder", "the folder belongs to the holder at " + entry.address.text,
                    "give this machine its own folder, or empty this one so that it joins as a new holder"};
     identity_ = entry.holder;
   } else if (entry.what == "roster")
@@ -55,19 +55,19 @@
     if (!install(held, entry.epoch, entry.content).empty())
       return unusable("a hand-over names records that the file does not have");
   } else
-    return Fault{FaultKind::damaged, "record_file", "a record is of the unknown kind '" + entry.what + "'",
+    return Error{ErrorKind::damaged, "record_file", "a record is of the unknown kind '" + entry.what + "'",
                  "run the version of mothwalk that wrote this folder"};
-  return Done{};
+  return Success{};
 }
 
 void ReplicatedStore::take_new_identity() {
-  constexpr View digits = "0123456789abcdef";
+  constexpr StringView digits = "0123456789abcdef";
   Bytes text;
   for (int count = 0; count < 2; ++count) {
     const std::uint64_t number = random_.next();
     for (int shift = 60; shift >= 0; shift -= 4) text.push_back(digits[(number >> shift) & 15]);
   }
-  identity_ = HolderId(text);
+  identity_ = StorageNodeId(text);
   roster_ = Roster{};
   held_.assign(slot_count, Held{});
 }
--- a/source/replication/store_internals.hpp
+++ b/source/replication/store_internals.hpp
@@ -5,7 +5,7 @@
 namespace mothwalk {
 
 // How long an owner waits for one answer of a replica.
-inline constexpr Span peer_timeout = std::chrono::milliseconds(1000);
+inline constexpr Duration peer_timeout = std::chrono::milliseconds(1000);
 
 inline std::size_t size_of(const Record& record) {
   std::size_t size = record.key.size() + record.head.size() + 64;
@@ -23,16 +23,16 @@
   return hash_of(record.key, record.stamp.epoch.value * 1000003 + record.stamp.version.value * 2 + record.removed);
 }
 
-inline Fault moved() {
-  return Fault{FaultKind::busy, "slot", "this holder does not own the slot of the key just now",
+inline Error moved() {
+  return Error{ErrorKind::busy, "slot", "this holder does not own the slot of the key just now",
                "ask again; another holder will answer"};
 }
-inline Fault stood_down() {
-  return Fault{FaultKind::unknown, "slot", "the slot moved while the change was on its way; the outcome is not known",
+inline Error stood_down() {
+  return Error{ErrorKind::unknown, "slot", "the slot moved while the change was on its way; the outcome is not known",
                "send the same request again to settle it"};
 }
-inline Fault not_me() {
-  return Fault{FaultKind::stale, "target", "the data folder at this address is another one",
+inline Error not_me() {
+  return Error{ErrorKind::stale, "target", "the data folder at this address is another one",
                "wait for the roster to name it"};
 }
 
--- a/source/replication/writes.cpp
+++ b/source/replication/writes.cpp
@@ -9,21 +9,21 @@
 namespace {
 using std::chrono::milliseconds;
 
-bool newsy(View key) {
+bool newsy(StringView key) {
   return !lot_key(key);
 }
 }  // namespace
 
-void ReplicatedStore::write(Write request, Answer<WriteReply> answer) {
+void ReplicatedStore::write(Write request, ReplyCallback<WriteReply> answer) {
   const std::uint32_t slot = slot_of(request.key);
   Owned& owned = owned_[slot];
   if (owned.state != Owned::State::owned || owned.roster != roster_.version || !keeps_key(request.key))
     return answer(moved());
   if (request.fence && *request.fence != owned.epoch.value)
-    return answer(Fault{FaultKind::stale, "fence", "the slot is owned under another epoch", "read the state again"});
+    return answer(Error{ErrorKind::stale, "fence", "the slot is owned under another epoch", "read the state again"});
   Queue& queue = owned.queues[request.key];
   if (queue.pending.size() >= 4096)
-    return answer(Fault{FaultKind::refused, "key", "too many changes of this key wait", "try again in a second"});
+    return answer(Error{ErrorKind::refused, "key", "too many changes of this key wait", "try again in a second"});
   const std::string key = request.key;
   queue.pending.push_back(Pending{std::move(request), std::move(answer)});
   run(slot, key);
@@ -45,18 +45,18 @@
       continue;
     }
     if (first.write.expected && *first.write.expected != (absent ? 0 : before.version.value)) {
-      first.answer(Fault{FaultKind::stale, "version",
+      first.answer(Error{ErrorKind::stale, "version",
                          "the version is not current; it is " + std::to_string(absent ? 0 : before.version.value),
                          "read the resource again and apply your change to that version"});
       continue;
     }
     if (absent && (first.write.removed || (!first.write.head && !first.write.appends.empty()))) {
-      first.answer(Fault{FaultKind::unknown_name, "name", "there is nothing of this name", "check the name"});
+      first.answer(Error{ErrorKind::unknown_name, "name", "there is nothing of this name", "check the name"});
       continue;
     }
     if (absent && !key.starts_with("roster") && !log_.has_room(first.write.growth)) {
       ++counts_.refused_for_room;
-      first.answer(Fault{FaultKind::refused, "disk", "there is no room on the disk for anything new",
+      first.answer(Error{ErrorKind::refused, "disk", "there is no room on the disk for anything new",
                          "try again later; what is kept may be changed and removed meanwhile"});
       continue;
     }
@@ -70,7 +70,7 @@
                   first.write.token,
                   {}};
     if ((absent && record != nullptr) || (first.write.replaces_entries && first.write.head)) change.full = true;
-    std::vector<Answer<WriteReply>> answers{first.answer};
+    std::vector<ReplyCallback<WriteReply>> answers{first.answer};
     const bool only_appends = !first.write.head && !first.write.removed;
     while (only_appends && !queue.pending.empty() && !queue.pending.front().write.head &&
            !queue.pending.front().write.removed && !queue.pending.front().write.expected &&
@@ -81,13 +81,13 @@
     }
     Roster also;
     if (key == "roster" && change.head)
-      if (auto next = from_json<Roster>(*change.head); !fault_of(next)) also = std::get<Roster>(next);
+      if (auto next = from_json<Roster>(*change.head); !error_of(next)) also = std::get<Roster>(next);
     queue.busy = true;
     const Epoch epoch = owned.epoch;
     commit(slot, change, also, [this, slot, key, epoch, answers, stamp = change.stamp](bool good) {
       Owned& now_owned = owned_[slot];
       if (!good || now_owned.state != Owned::State::owned || now_owned.epoch != epoch) {
-        if (now_owned.state == Owned::State::owned && now_owned.epoch == epoch) step_down(slot, Span{});
+        if (now_owned.state == Owned::State::owned && now_owned.epoch == epoch) step_down(slot, Duration{});
         for (auto& answer : answers) answer(stood_down());
         return;
       }
@@ -122,12 +122,12 @@
   auto count = std::make_shared<Count>();
   count->old_roster = roster_;
   count->new_roster = also;
-  std::vector<Seat> seats = roster_.seats;
+  std::vector<Voter> seats = roster_.seats;
   for (const auto& seat : also.seats)
     if (!roster_.seated(seat.holder)) seats.push_back(seat);
   count->left = seats.size();
   const Epoch epoch = owned_[slot].epoch;
-  auto acknowledged = [this, count, slot, epoch, done](const Seat& seat, bool good) {
+  auto acknowledged = [this, count, slot, epoch, done](const Voter& seat, bool good) {
     --count->left;
     if (count->over) return;
     if (good) {
@@ -153,7 +153,7 @@
                  return acknowledged(seat, false);
                }
                if (reply->outcome == "roster" && reply->roster.version < roster_version)
-                 messenger_.tell(seat.address, RosterNews{roster_, self_.keeps});
+                 messenger_.send(seat.address, RosterUpdate{roster_, self_.keeps});
                if (reply->outcome == "roster" && reply->roster.version > roster_.version) adopt(reply->roster);
                if (reply->outcome == "stored") return acknowledged(seat, true);
                if (reply->outcome == "refused") return acknowledged(seat, false);
--- a/source/routes/events.cpp
+++ b/source/routes/events.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 // The value after "name:" and at most one space, where the line begins with that.
-std::optional<View> value_of(View line, View name) {
+std::optional<StringView> value_of(StringView line, StringView name) {
   if (name.empty() || !line.starts_with(name) || line.size() <= name.size() || line[name.size()] != ':')
     return std::nullopt;
   line.remove_prefix(name.size() + 1);
@@ -23,7 +23,7 @@
   return line;
 }
 
-std::optional<std::uint64_t> event_id(View text) {
+std::optional<std::uint64_t> event_id(StringView text) {
   constexpr std::size_t most_digits = 18;
   if (text.empty() || text.size() > most_digits) return std::nullopt;
   std::uint64_t number = 0;
@@ -35,7 +35,7 @@
 }
 }  // namespace
 
-void EventReader::read_line(View line) {
+void EventReader::read_line(StringView line) {
   if (const auto text = value_of(line, "id")) {
     if (const auto number = event_id(*text)) id_ = number;
   } else if (const auto version = value_of(line, version_field_)) {
@@ -43,11 +43,11 @@
   }
 }
 
-bool EventReader::take(View bytes, Bytes& out) {
+bool EventReader::take(StringView bytes, Bytes& out) {
   std::size_t from = held_.size(), whole = 0;
   held_.append(bytes);
   for (std::size_t end; (end = held_.find('\n', from)) != Bytes::npos; from = line_ = end + 1) {
-    View line = View(held_).substr(line_, end - line_);
+    StringView line = StringView(held_).substr(line_, end - line_);
     if (line.ends_with('\r')) line.remove_suffix(1);
     if (line.empty()) {
       if (id_ && last_ && *id_ != *last_ + 1) {
--- a/source/routes/hop_headers.cpp
+++ b/source/routes/hop_headers.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-bool hop_by_hop(View name) {
-  for (const View each : {"connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade",
-                          "proxy-authenticate", "proxy-authorization", "proxy-connection", "content-length", "expect"})
+bool hop_by_hop(StringView name) {
+  for (const StringView each :
+       {"connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "proxy-authenticate",
+        "proxy-authorization", "proxy-connection", "content-length", "expect"})
     if (same_name(name, each)) return true;
   return false;
 }
 
-View trimmed(View word) {
+StringView trimmed(StringView word) {
   while (word.starts_with(' ')) word.remove_prefix(1);
   while (word.ends_with(' ')) word.remove_suffix(1);
   return word;
 }
 
 // Whether the comma-separated list has the name, in any case.
-bool lists(View list, View name) {
+bool lists(StringView list, StringView name) {
   while (!list.empty()) {
     const auto comma = std::min(list.find(','), list.size());
     if (same_name(trimmed(list.substr(0, comma)), name)) return true;
--- a/source/routes/hop_headers.hpp
+++ b/source/routes/hop_headers.hpp
@@ -1,6 +1,6 @@
 // Headers that concern one connection only (RFC 9110, 7.6.1) stay behind when a message is passed on.
 #pragma once
-#include "seams/dialect.hpp"
+#include "interfaces/dialect.hpp"
 
 namespace mothwalk {
 
--- a/source/routes/obstacles.cpp
+++ b/source/routes/obstacles.cpp
@@ -5,9 +5,9 @@
 
 namespace mothwalk {
 
-View name_of(Obstacle obstacle) {
-  static constexpr View names[obstacle_count] = {"none",        "not_listed", "tried", "resting", "failing",
-                                                 "connections", "memory",     "ramp",  "slots",   "cold"};
+StringView name_of(Obstacle obstacle) {
+  static constexpr StringView names[obstacle_count] = {"none",        "not_listed", "tried", "resting", "failing",
+                                                       "connections", "memory",     "ramp",  "slots",   "cold"};
   return names[static_cast<std::size_t>(obstacle)];
 }
 
--- a/source/routes/obstacles.hpp
+++ b/source/routes/obstacles.hpp
@@ -19,7 +19,7 @@
 };
 inline constexpr std::size_t obstacle_count = 10;
 
-View name_of(Obstacle obstacle);
+StringView name_of(Obstacle obstacle);
 
 // How many runners each obstacle stood before, in one choice.
 class ObstacleTally {
--- a/source/routes/router.cpp
+++ b/source/routes/router.cpp
@@ -7,30 +7,30 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span tick_span = milliseconds(20);  // between looks at what waits or is held
-constexpr Span report_span = std::chrono::seconds(1), soon_span = milliseconds(80);
+constexpr Duration tick_span = milliseconds(20);  // between looks at what waits or is held
+constexpr Duration report_span = std::chrono::seconds(1), soon_span = milliseconds(80);
 constexpr std::uint64_t warned_wait_milliseconds = 100;  // of all requests together, in the time of a report
 }  // namespace
 
-Router::Router(Messenger& messenger, SharedState& shared_state, Exchange& exchange, RandomSource& random, Member self,
-               const Dialect& dialect)
+Router::Router(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
+               Member self, const Dialect& dialect)
     : messenger_(messenger),
       shared_state_(shared_state),
-      exchange_(exchange),
+      runner_client_(exchange),
       random_(random),
       self_(self),
       dialect_(dialect),
       runner_table_(messenger, shared_state, random, std::move(self)) {
   runner_table_.subset_left = [this](const Address& to, const std::string& runner) {
-    exchange_.close_idle(to, runner);
+    runner_client_.close_idle(to, runner);
   };
 }
 
 namespace {
-class DiscardingCaller : public CallerSide {
+class DiscardingCaller : public ResponseSink {
  public:
   void head(int, const std::vector<Header>&) override {}
-  void piece(View) override {}
+  void piece(StringView) override {}
   void end() override {}
   void break_off() override {}
   std::size_t backlog() const override { return 0; }
@@ -51,7 +51,7 @@
 }
 
 void Router::tick() {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   for (const Id id : std::vector<Id>(held_.begin(), held_.end())) {
     Record& record = table_.at(id);
     if (!follow_slow(record, now)) break_off(record, "slow caller");
@@ -61,14 +61,14 @@
 
 void Router::arm_deadline() {
   if (deadlines_.empty()) return;
-  const Moment first = deadlines_.begin()->first;
+  const TimePoint first = deadlines_.begin()->first;
   if (deadline_timer_) {
     if (deadline_timer_->first <= first) return;
     messenger_.timers().cancel(deadline_timer_->second);
   }
-  const auto timer = messenger_.timers().after(std::max(Span{}, first - messenger_.timers().now()), [this] {
+  const auto timer = messenger_.timers().after(std::max(Duration{}, first - messenger_.timers().now()), [this] {
     deadline_timer_.reset();
-    const Moment now = messenger_.timers().now();
+    const TimePoint now = messenger_.timers().now();
     while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
       const Id id = deadlines_.begin()->second;
       deadlines_.erase(deadlines_.begin());
@@ -108,7 +108,7 @@
   record.state = state;
 }
 
-Router::Id Router::arrive(LiveRequest request, std::shared_ptr<CallerSide> caller) {
+Router::Id Router::arrive(LiveRequest request, std::shared_ptr<ResponseSink> caller) {
   ++counts_.arrived;
   const Id id = ++last_id_;
   Record& record = table_[id];
@@ -183,8 +183,8 @@
 }
 
 void Router::count_wait(const Record& record) {
-  const Span waited = messenger_.timers().now() - record.waiting_since;
-  if (record.obstacle == Obstacle::none || record.kinds.empty() || waited <= Span{}) return;
+  const Duration waited = messenger_.timers().now() - record.waiting_since;
+  if (record.obstacle == Obstacle::none || record.kinds.empty() || waited <= Duration{}) return;
   Waits& waits = counts_.waits[record.kinds.front() + " " + std::string(name_of(record.obstacle))];
   ++waits.requests;
   waits.milliseconds += static_cast<std::uint64_t>(waited.count() / 1000);
@@ -210,7 +210,7 @@
     sentence +=
         " " + std::to_string(counts_.strays - strays_told_) + " requests went over connections without a right.";
   strays_told_ = counts_.strays;
-  if (!sentence.empty()) warn(View(sentence).substr(1));
+  if (!sentence.empty()) warn(StringView(sentence).substr(1));
 }
 
 void Router::report_each() {
@@ -231,18 +231,18 @@
   for (const auto& [id, record] : table_)
     if (record.stray && (record.state == State::sent || record.state == State::relaying)) ++strays[record.runner];
   for (const auto& [kind, entry] : configuration->kinds) {
-    const Seat* seat = slot_owner(configuration->roster, *members, slot_of("circle/" + kind));
+    const Voter* seat = slot_owner(configuration->roster, *members, slot_of("circle/" + kind));
     if (seat == nullptr) continue;
     LoadReport report;
     report.runner_kind = kind;
     report.incarnation = messenger_.incarnation();
     report.runners = runner_table_.load(*configuration, kind, entry.spec);
     for (auto& [name, load] : report.runners) {
-      const std::size_t open = exchange_.connections(configuration->runners.at(name).spec.address, name);
+      const std::size_t open = runner_client_.connections(configuration->runners.at(name).spec.address, name);
       load.connections = static_cast<std::uint32_t>(open - std::min(open, strays[name]));
     }
     report.queued = queued[kind];
-    messenger_.tell(seat->address, report);
+    messenger_.send(seat->address, report);
   }
   runner_table_.forget_gone(*configuration);
 }
--- a/source/routes/router_admission.cpp
+++ b/source/routes/router_admission.cpp
@@ -10,7 +10,7 @@
   const bool first = record.configuration == nullptr;
   // A daemon that has just started takes the configuration in within a second or two: requests may wait for it a
   // little.
-  if (shared_state_.was_fresh()) {
+  if (shared_state_.was_ever_fresh()) {
     auto configuration = shared_state_.configuration.get();
     std::string name;
     const Lane* lane = configuration->lane_for(record.request.target, &name, record.facts.host);
@@ -38,7 +38,7 @@
   else
     answer(record,
            Refusal{404, "refused", "lane", false,
-                   Fault{FaultKind::unknown_name, "path", "no lane has this path", "use the path of a declared lane"}});
+                   Error{ErrorKind::unknown_name, "path", "no lane has this path", "use the path of a declared lane"}});
   return false;
 }
 
@@ -55,13 +55,13 @@
 
 void Router::set_deadline(Record& record) {
   deadlines_.erase({record.deadline, record.id});
-  const Span whole = record.lane.whole;
+  const Duration whole = record.lane.whole;
   record.deadline = record.arrived + std::min(whole, record.facts.budget.value_or(whole));
   if (answer_by_) record.deadline = std::min(record.deadline, *answer_by_);
   deadlines_.emplace(record.deadline, record.id);
 }
 
-void Router::answer_all_by(Moment end) {
+void Router::answer_all_by(TimePoint end) {
   answer_by_ = end;
   for (auto& [id, record] : table_)
     if (record.state != State::finished && !record.lane_name.empty()) set_deadline(record);
@@ -80,7 +80,7 @@
     demand.affinity = hash_of(parts[parts.size() > 1 ? parts.size() - 2 : 0].id) | 1;
     demand.near = true;
   } else if (begin > 0) {
-    demand.affinity = hash_of(View(*record.request.body).substr(0, begin)) | 1;
+    demand.affinity = hash_of(StringView(*record.request.body).substr(0, begin)) | 1;
   }
   return demand;
 }
--- a/source/routes/router_endings.cpp
+++ b/source/routes/router_endings.cpp
@@ -46,7 +46,7 @@
 void Router::refuse(Record& record, const std::string& reason, const std::string& message) {
   if (record.may_have_run) return give_unknown(record, 502, reason, message);
   answer(record, Refusal{503, "refused", reason, true,
-                         Fault{FaultKind::refused, "request", message + "; it was not run and never will be",
+                         Error{ErrorKind::refused, "request", message + "; it was not run and never will be",
                                "send it again after the time in Retry-After"}});
 }
 
@@ -54,7 +54,7 @@
   const std::string remedy = record.repeatable ? "send it again after the time in Retry-After"
                                                : "find out whether it took effect before you send it again";
   answer(record, Refusal{status, "unknown", reason, true,
-                         Fault{FaultKind::unknown, "request", message + "; whether it ran is not known", remedy}});
+                         Error{ErrorKind::unknown, "request", message + "; whether it ran is not known", remedy}});
 }
 
 // A caller that has the head of an answer can be told nothing else any more: its stream breaks off.
@@ -65,7 +65,7 @@
   if (record.abandoned) return set_state(record, State::finished);
   ++(unknown ? counts_.unknown : counts_.refused);
   count_for_aims(record, false);
-  json::value body = fault_to_json(refusal.fault);
+  json::value body = error_to_json(refusal.error);
   body.as_object()["outcome"] = refusal.outcome;
   const std::string text = json::serialize(body) + "\n";
   std::vector<Header> headers{{"X-Mothwalk-Outcome", refusal.outcome},
@@ -78,12 +78,12 @@
   set_state(record, State::finished);
 }
 
-Span Router::come_back(const Record& record) {
+Duration Router::come_back(const Record& record) {
   auto answered = answered_last_.find(record.lane_name);
   const std::uint64_t pace = std::max<std::uint64_t>(1, answered == answered_last_.end() ? 0 : answered->second);
   const std::uint64_t waiting = waiting_in(record.lane_name);
   // Spread a little, so that those who were refused together do not come back together.
-  if (record.lane.aim > Span{}) {
+  if (record.lane.aim > Duration{}) {
     const std::uint64_t wait = std::clamp<std::uint64_t>(waiting * 1000 / pace, 50, 2000);
     return milliseconds(wait + random_.below(1 + wait));
   }
--- a/source/routes/router_sending.cpp
+++ b/source/routes/router_sending.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span starting_span = milliseconds(2500);  // that a request waits for a daemon's first configuration
-constexpr Span silence = milliseconds(1000);        // after which a runner that gave nothing at all counts as failing
-constexpr Span held_span = milliseconds(500);       // that a limit may hold a request up while a runner has no work
-constexpr Span watch_span = milliseconds(100);
-constexpr Span awake_span = milliseconds(600);  // since news ran last: the process was not suspended
+constexpr Duration starting_span = milliseconds(2500);  // that a request waits for a daemon's first configuration
+constexpr Duration silence = milliseconds(1000);   // after which a runner that gave nothing at all counts as failing
+constexpr Duration held_span = milliseconds(500);  // that a limit may hold a request up while a runner has no work
+constexpr Duration watch_span = milliseconds(100);
+constexpr Duration awake_span = milliseconds(600);  // since news ran last: the process was not suspended
 }  // namespace
 
-class Router::Watcher : public AttemptWatcher {
+class Router::Watcher : public AttemptObserver {
  public:
   Watcher(Router& router, Id id, std::uint64_t attempt) : router_(router), id_(id), attempt_(attempt) {}
   void on_head(int status, const std::vector<Header>& headers) override {
     router_.attempt_head(id_, attempt_, status, headers);
   }
-  void on_piece(View piece) override { router_.attempt_piece(id_, attempt_, piece); }
+  void on_chunk(StringView piece) override { router_.attempt_piece(id_, attempt_, piece); }
   void on_pause() override { router_.attempt_pause(id_, attempt_); }
-  void on_end(AttemptEnd end) override { router_.attempt_end(id_, attempt_, end); }
+  void on_end(AttemptOutcome end) override { router_.attempt_end(id_, attempt_, end); }
 
  private:
   Router& router_;
@@ -32,11 +32,11 @@
 };
 
 void Router::match_pass() {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   const auto configuration = shared_state_.configuration.get();
   // A lapsed lease is sought for a moment; when no control daemon can be had, the newest configuration known stays in
   // force.
-  const bool may_send = shared_state_.may_serve(now);
+  const bool may_send = shared_state_.may_serve_requests(now);
   std::map<std::string, Obstacle> full;
   for (const auto& place : std::vector<Place>(waiting_.begin(), waiting_.end())) {
     auto found = table_.find(std::get<Id>(place));
@@ -52,7 +52,7 @@
 }
 
 // A limit that all daemons share must not keep a request from a runner that nobody uses.
-void Router::check_held(Record& record, const ConfigurationView& configuration, Moment now) {
+void Router::check_held(Record& record, const ConfigurationView& configuration, TimePoint now) {
   const bool by_limit = record.obstacle == Obstacle::connections || record.obstacle == Obstacle::ramp;
   if (record.held_beside_idle || !by_limit || record.kinds.empty() || now - record.waiting_since < held_span) return;
   const std::string& kind = record.kinds.front();
@@ -67,7 +67,7 @@
 
 // What waited goes the way of the newest configuration; false where the record can't be sent in this pass.
 bool Router::follow_configuration(Record& record, const std::shared_ptr<const ConfigurationView>& configuration,
-                                  Moment now) {
+                                  TimePoint now) {
   if (record.configuration == configuration && !record.lane_name.empty()) return true;
   if (record.head_given) return may_go_on(record, *configuration);
   auto lane = configuration->lanes.find(record.lane_name);
@@ -117,9 +117,9 @@
 }
 
 // Where so many wait that the aim will be missed, a caller does better to come back later, told so early.
-bool Router::hopeless(const Record& record, Moment now) const {
-  const Span waited = now - record.waiting_since;
-  if (record.lane.aim == Span{} || record.head_given || waited * 5 < record.lane.aim) return false;
+bool Router::hopeless(const Record& record, TimePoint now) const {
+  const Duration waited = now - record.waiting_since;
+  if (record.lane.aim == Duration{} || record.head_given || waited * 5 < record.lane.aim) return false;
   auto count = [&](const auto& counts) {
     auto found = counts.find(record.lane_name);
     return found == counts.end() ? 0u : found->second;
@@ -150,7 +150,7 @@
   runner_table_.sent(choice.runner, kind, record.demand);
   AttemptRequest request = attempt_request(record, runner);
   request.connections = choice.connections;
-  record.exchange = exchange_.start(request, std::make_shared<Watcher>(*this, record.id, record.attempt));
+  record.exchange = runner_client_.start(request, std::make_shared<Watcher>(*this, record.id, record.attempt));
 }
 
 AttemptRequest Router::attempt_request(const Record& record, const Runner& runner) {
@@ -167,15 +167,15 @@
   request.repeatable = record.repeatable;
   request.keep_connection = record.keep_connection;
   dialect_.write_attempt(request, record.facts,
-                         AttemptFacts{record.runner, std::max(Span{}, record.deadline - messenger_.timers().now()),
-                                      record.last_event, record.head_given ? record.version : std::string()});
+                         AttemptInfo{record.runner, std::max(Duration{}, record.deadline - messenger_.timers().now()),
+                                     record.last_event, record.head_given ? record.version : std::string()});
   return request;
 }
 
 // The runner's work is of no use any more, and says nothing of the runner unless it kept silent for long.
 void Router::leave(Record& record) {
-  exchange_.cancel(record.exchange);
-  const Moment now = messenger_.timers().now();
+  runner_client_.cancel(record.exchange);
+  const TimePoint now = messenger_.timers().now();
   const bool silent = record.state == State::sent && now - record.arrived > silence &&
                       now - runner_table_.heard(record.runner) > silence;
   runner_table_.ended(record.runner, record.demand, silent ? AttemptVerdict::failed : AttemptVerdict::nothing,
@@ -216,13 +216,13 @@
 // Runners that go dark keep their connections: nothing but their silence shows it. Where a lane says how soon its
 // answers are wanted, a runner that gave nothing at all to this daemon for well over that is left, and repeatable work
 // goes elsewhere.
-Span Router::patience(const Record& record) const {
+Duration Router::patience(const Record& record) const {
   const Lane& lane = record.lane;
   if (record.read && lane.streaming)
-    return lane.gap > Span{} ? std::max<Span>(lane.gap * 3, milliseconds(500)) : Span::max();
-  if (lane.aim == Span{}) return Span::max();
-  return lane.streaming ? std::clamp<Span>(lane.aim * 3, milliseconds(600), milliseconds(1500))
-                        : std::clamp<Span>(lane.aim * 5 / 2, milliseconds(250), milliseconds(1500));
+    return lane.gap > Duration{} ? std::max<Duration>(lane.gap * 3, milliseconds(500)) : Duration::max();
+  if (lane.aim == Duration{}) return Duration::max();
+  return lane.streaming ? std::clamp<Duration>(lane.aim * 3, milliseconds(600), milliseconds(1500))
+                        : std::clamp<Duration>(lane.aim * 5 / 2, milliseconds(250), milliseconds(1500));
 }
 
 void Router::arm_watch() {
@@ -235,7 +235,7 @@
 }
 
 void Router::watch() {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   std::vector<Id> dark;
   for (const auto& [id, record] : table_) {
     if ((record.state != State::sent && record.state != State::relaying) || record.held_since) continue;
@@ -246,7 +246,7 @@
     runner_table_.suspect(record.runner);
     const bool streams_on = record.state == State::sent || record.events;
     if (!record.repeatable || !streams_on || !attempts_left(record) || retry_tokens_ < 1) continue;
-    exchange_.cancel(record.exchange);
+    runner_client_.cancel(record.exchange);
     runner_table_.ended(record.runner, record.demand, AttemptVerdict::nothing, record.read);
     record.may_have_run = true;
     retry_tokens_ -= 1;
