--- a/source/routes/runner_table.cpp
+++ b/source/routes/runner_table.cpp
@@ -12,12 +12,12 @@
 constexpr double near_load = 0.1;   // so much more load a runner of the own zone may have than the least loaded
 constexpr double cold_share = 0.6;  // of what a cold runner bears; the rest is for items of lots
 constexpr double memory_share = 0.95;
-constexpr Span stray_after = milliseconds(100);  // that a request waits for the connections of this daemon
-constexpr std::uint32_t absent_failures = 2;     // in a row
-constexpr double large_prompt = 6;               // times the mean: it holds up whatever else its runner does
-constexpr double apart_share = 0.45;             // of the members, for large prompts
-constexpr double apart_load = 0.75;              // of the others, above which they take everything
-constexpr Span load_news = milliseconds(1500);   // how old the news of a runner's load may be to rely on it
+constexpr Duration stray_after = milliseconds(100);  // that a request waits for the connections of this daemon
+constexpr std::uint32_t absent_failures = 2;         // in a row
+constexpr double large_prompt = 6;                   // times the mean: it holds up whatever else its runner does
+constexpr double apart_share = 0.45;                 // of the members, for large prompts
+constexpr double apart_load = 0.75;                  // of the others, above which they take everything
+constexpr Duration load_news = milliseconds(1500);   // how old the news of a runner's load may be to rely on it
 
 // What requests may take of an engine's memory together; one that has the engine to itself may take all of it.
 double shared_memory(const Kind& kind) {
@@ -33,7 +33,7 @@
 
 RunnerTable::RunnerTable(Messenger& messenger, SharedState& shared_state, RandomSource& random, Member self)
     : messenger_(messenger), shared_state_(shared_state), random_(random), self_(std::move(self)) {
-  messenger_.on_tell<LoadTotals>([this](const Address&, LoadTotals totals) {
+  messenger_.on_message<LoadTotals>([this](const Address&, LoadTotals totals) {
     const auto configuration = shared_state_.configuration.get();
     for (const auto& [name, runner] : configuration->runners) {
       if (runner.spec.kind.text != totals.runner_kind) continue;
@@ -96,11 +96,11 @@
   daemons_ = daemons(configuration);
   if (configuration.listing == listing_) return;
   listing_ = configuration.listing;
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   for (const auto& [name, runner] : configuration.runners) {
-    if (runner.spec.cold == Span{} && !runner_table_.contains(name)) continue;
+    if (runner.spec.cold == Duration{} && !runner_table_.contains(name)) continue;
     RunnerState& runner_state = runner_table_[name];
-    if (runner.spec.cold != runner_state.cold_told && runner.spec.cold > Span{}) {
+    if (runner.spec.cold != runner_state.cold_told && runner.spec.cold > Duration{}) {
       const bool was_cold = now < runner_state.cold_until;
       runner_state.cold_until = now + runner.spec.cold;
       if (auto kind = configuration.kinds.find(runner.spec.kind.text);
@@ -109,7 +109,7 @@
         const auto gap =
             static_cast<std::size_t>(1e6 * static_cast<double>(daemons_) / (kind->second.spec.cold_rate * cold_share));
         runner_state.cold_next =
-            std::max(runner_state.cold_next, now + Span(static_cast<std::int64_t>(random_.below(gap))));
+            std::max(runner_state.cold_next, now + Duration(static_cast<std::int64_t>(random_.below(gap))));
       }
     }
     runner_state.cold_told = runner.spec.cold;
@@ -132,13 +132,13 @@
   const Circle* circle;
   const ConnectionShares& shares;
   const Demand& demand;
-  Moment now;
+  TimePoint now;
 };
 
 Obstacle RunnerTable::obstacle_at(const std::string& name, const Runner& runner, const Considered& considered) {
   const Kind& kind = considered.kind;
   const Circle* circle = considered.circle;
-  const Moment now = considered.now;
+  const TimePoint now = considered.now;
   const bool warm = circle == nullptr || circle->bears(name, runner.generation);
   RunnerState& runner_state = runner_table_[name];
   if (now < runner_state.not_before) return runner_state.failures > 0 ? Obstacle::failing : Obstacle::resting;
@@ -167,7 +167,7 @@
 void RunnerTable::follow_ramp(const std::string& name, const Considered& considered, bool warm,
                               RunnerState& runner_state) const {
   const Circle* circle = considered.circle;
-  const Moment now = considered.now;
+  const TimePoint now = considered.now;
   if (circle != nullptr && !warm)
     if (auto count = circle->ramps.find(name); count != circle->ramps.end() && count->second != runner_state.ramp) {
       runner_state.ramp = count->second;
@@ -185,8 +185,8 @@
 // within a share of it that does not depend on news of the others, so the sum over all daemons stays below the limit.
 Obstacle RunnerTable::ramp_obstacle(const std::string& name, const Runner& runner, const Considered& considered,
                                     RunnerState& runner_state) {
-  const Span ramp = considered.kind.circle.ramp;
-  const Moment now = considered.now;
+  const Duration ramp = considered.kind.circle.ramp;
+  const TimePoint now = considered.now;
   const double progress =
       static_cast<double>((now - *runner_state.ramp_since).count()) / static_cast<double>(ramp.count());
   const std::size_t allowed =
@@ -215,7 +215,7 @@
 }
 
 // Whether the runner has free slots, as was told a moment ago.
-bool RunnerTable::known_free(const RunnerState& runner_state, const Runner& runner, Moment now) const {
+bool RunnerTable::known_free(const RunnerState& runner_state, const Runner& runner, TimePoint now) const {
   return now - runner_state.load_heard < load_news && runner_state.taken() < runner.slots;
 }
 
@@ -257,7 +257,7 @@
   *why = "circle";
   if (kind == configuration.kinds.end() || (circle == configuration.circles.end() && !even_over_all))
     return std::nullopt;
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   // In the share; over it by right; over it since no runner that this daemon has a right to can be used soon.
   std::vector<Choice> choices, visits, strays, colds;
   bool right_in_use = false;
@@ -355,7 +355,7 @@
 
 void RunnerTable::sent(const std::string& runner, const Kind& kind, const Demand& demand) {
   RunnerState& runner_state = runner_table_[runner];
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   ++runner_state.open;
   runner_state.tokens += demand.tokens;
   runner_state.unread += demand.prompt_tokens;
@@ -369,7 +369,7 @@
   // other.
   if (cold(runner_state, kind, now))
     runner_state.cold_next =
-        now + Span(static_cast<std::int64_t>(1e6 * static_cast<double>(daemons_) / (kind.cold_rate * cold_share)));
+        now + Duration(static_cast<std::int64_t>(1e6 * static_cast<double>(daemons_) / (kind.cold_rate * cold_share)));
 }
 
 void RunnerTable::read(const std::string& runner, const Demand& demand, bool first) {
@@ -378,17 +378,17 @@
   runner_state.heard = messenger_.timers().now();
 }
 
-Moment RunnerTable::heard(const std::string& runner) const {
+TimePoint RunnerTable::heard(const std::string& runner) const {
   auto found = runner_table_.find(runner);
-  return found == runner_table_.end() ? Moment{} : found->second.heard;
+  return found == runner_table_.end() ? TimePoint{} : found->second.heard;
 }
 
 std::string RunnerTable::idle_member(const ConfigurationView& configuration, const std::string& kind,
-                                     const std::set<std::string>& but, Span slack) const {
+                                     const std::set<std::string>& but, Duration slack) const {
   auto circle = configuration.circles.find(kind);
   if (circle == configuration.circles.end()) return {};
-  const Span ramp = configuration.kinds.at(kind).spec.circle.ramp;
-  const Moment now = messenger_.timers().now();
+  const Duration ramp = configuration.kinds.at(kind).spec.circle.ramp;
+  const TimePoint now = messenger_.timers().now();
   for (const auto& member : circle->second.spec.members) {
     auto runner = configuration.runners.find(member.text);
     auto found = runner_table_.find(member.text);
@@ -409,7 +409,7 @@
   if (runner_state.open > 0) --runner_state.open;
   runner_state.tokens -= std::min<std::uint64_t>(runner_state.tokens, demand.tokens);
   if (!was_read) runner_state.unread -= std::min<std::uint64_t>(runner_state.unread, demand.prompt_tokens);
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   if (verdict == AttemptVerdict::nothing) return;
   if (verdict == AttemptVerdict::sound) {
     // It was away and answers again: it may have been started anew, with nothing cached.
@@ -427,7 +427,7 @@
   }
 }
 
-void RunnerTable::failed(RunnerState& runner_state, Moment now) {
+void RunnerTable::failed(RunnerState& runner_state, TimePoint now) {
   runner_state.failures = std::min(runner_state.failures + 1, 6u);
   runner_state.failure = now;
   report_soon = true;
@@ -436,13 +436,13 @@
 
 void RunnerTable::suspect(const std::string& runner) {
   RunnerState& runner_state = runner_table_[runner];
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   if (now < runner_state.not_before) return;
   failed(runner_state, now);
   runner_state.absent = runner_state.absent || runner_state.failures >= absent_failures;
 }
 
-void RunnerTable::rest(const std::string& runner, Span span) {
+void RunnerTable::rest(const std::string& runner, Duration span) {
   RunnerState& runner_state = runner_table_[runner];
   runner_state.not_before = std::max(runner_state.not_before, messenger_.timers().now() + span);
 }
@@ -457,7 +457,7 @@
 
 std::map<std::string, ObservedLoad> RunnerTable::load(const ConfigurationView& configuration, const std::string& kind,
                                                       const Kind& settings) {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   std::map<std::string, ObservedLoad> load;
   for (const auto& [name, runner_state] : runner_table_) {
     auto runner = configuration.runners.find(name);
--- a/source/routes/runner_table.hpp
+++ b/source/routes/runner_table.hpp
@@ -2,9 +2,9 @@
 // of their load, and the choice of a runner by it.
 #pragma once
 #include "circle/circle.hpp"
+#include "interfaces/dialect.hpp"
 #include "routes/connection_shares.hpp"
 #include "routes/obstacles.hpp"
-#include "seams/dialect.hpp"
 
 namespace mothwalk {
 
@@ -13,7 +13,7 @@
   std::uint64_t affinity = 0;                   // of the prefix that a runner may have kept; zero: any runner will do
   bool near = false;                            // a runner of the own zone that has the prefix goes before others
   std::uint32_t prompt_tokens = 0, tokens = 0;  // to be read; these and those that may come out
-  Span waited{};                                // for a runner
+  Duration waited{};                            // for a runner
 };
 
 // Where a request goes, and over which connection.
@@ -35,17 +35,17 @@
 struct RunnerState {
   std::uint32_t open = 0, others = 0, items = 0, failures = 0;
   std::uint32_t taken() const { return open + others + items; }
-  std::uint64_t tokens = 0, unread = 0;  // of the own open requests; of those that gave no piece yet
-  Moment not_before, last_sent, heard;   // heard: its last answer began
-  Moment load_heard;                     // when others' work on it was told last
-  std::optional<Moment> failure;         // when an attempt failed last
-  std::optional<Moment> returned;        // when it answered after it had been absent
-  std::uint64_t ramp = 0;                // the circle's count of its ramps
-  std::optional<Moment> ramp_since;      // since when it warms, as a new member or as one that came back
+  std::uint64_t tokens = 0, unread = 0;    // of the own open requests; of those that gave no piece yet
+  TimePoint not_before, last_sent, heard;  // heard: its last answer began
+  TimePoint load_heard;                    // when others' work on it was told last
+  std::optional<TimePoint> failure;        // when an attempt failed last
+  std::optional<TimePoint> returned;       // when it answered after it had been absent
+  std::uint64_t ramp = 0;                  // the circle's count of its ramps
+  std::optional<TimePoint> ramp_since;     // since when it warms, as a new member or as one that came back
   bool absent = false;  // it could not be reached, or failed time after time: it may have been started anew
   bool came_back = false;
-  Moment cold_until, cold_next;  // when it is warm; when this daemon may send to it while it is cold
-  Span cold_told{};              // what its source last said of that
+  TimePoint cold_until, cold_next;  // when it is warm; when this daemon may send to it while it is cold
+  Duration cold_told{};             // what its source last said of that
 };
 
 // Whether no runner of the kind can hold the request beside others, or at all: it waits until one has no work, and says
@@ -64,8 +64,8 @@
   void read(const std::string& runner, const Demand& demand,
             bool first);  // something of its answer came, the first piece
   void ended(const std::string& runner, const Demand& demand, AttemptVerdict verdict, bool was_read);
-  void suspect(const std::string& runner);          // it keeps silent
-  void rest(const std::string& runner, Span span);  // nothing is sent to it for that long
+  void suspect(const std::string& runner);              // it keeps silent
+  void rest(const std::string& runner, Duration span);  // nothing is sent to it for that long
   void told(const std::string& runner, const RunnerLoad& load);
   // Whether a report of failures should leave sooner than the next one.
   bool report_soon = false;
@@ -73,11 +73,11 @@
   std::map<std::string, ObservedLoad> load(const ConfigurationView& configuration, const std::string& kind,
                                            const Kind& settings);
   void forget_gone(const ConfigurationView& configuration);
-  Moment heard(const std::string& runner) const;
+  TimePoint heard(const std::string& runner) const;
   // A member of the kind's circle, but for some, that has no work at all, as was told a moment ago, and that is past
   // its ramp or ought to be for longer than the slack; none: empty.
   std::string idle_member(const ConfigurationView& configuration, const std::string& kind,
-                          const std::set<std::string>& but, Span slack) const;
+                          const std::set<std::string>& but, Duration slack) const;
   // Told when a runner leaves the subset that this daemon keeps connections to.
   std::function<void(const Address& to, const std::string& runner)> subset_left = [](const Address&,
                                                                                      const std::string&) {
@@ -105,15 +105,15 @@
   const ConnectionShares& shares(const ConfigurationView& configuration, const std::string& kind);
   void leave_subset(const ConfigurationView& configuration, const ConnectionShares& before,
                     const ConnectionShares& after);
-  void failed(RunnerState& runner_state, Moment now);
+  void failed(RunnerState& runner_state, TimePoint now);
   Obstacle obstacle_at(const std::string& name, const Runner& runner, const Considered& considered);
   void follow_ramp(const std::string& name, const Considered& considered, bool warm, RunnerState& runner_state) const;
   Obstacle ramp_obstacle(const std::string& name, const Runner& runner, const Considered& considered,
                          RunnerState& runner_state);
   std::size_t ramp_rank(const std::string& name, const Runner& runner, const Considered& considered,
                         std::size_t* users) const;
-  bool known_free(const RunnerState& runner_state, const Runner& runner, Moment now) const;
-  bool cold(const RunnerState& runner_state, const Kind& kind, Moment now) const {
+  bool known_free(const RunnerState& runner_state, const Runner& runner, TimePoint now) const;
+  bool cold(const RunnerState& runner_state, const Kind& kind, TimePoint now) const {
     return kind.cold_rate > 0 && now < runner_state.cold_until;
   }
   const std::set<std::string>& apart(const ConfigurationView& configuration, const std::string& kind,
--- a/source/scale/loopback.cpp
+++ b/source/scale/loopback.cpp
@@ -16,8 +16,8 @@
 #include <sstream>
 #include <thread>
 
-#include "host/tcp_wire.hpp"
-#include "news/news.hpp"
+#include "gossip/configuration_gossip.hpp"
+#include "host/tcp_transport.hpp"
 #include "replication/store_client.hpp"
 #include "routes/router.hpp"
 #include "sessions/sessions.hpp"
@@ -29,9 +29,9 @@
 
 namespace {
 
-class NoExchange : public Exchange {
+class NoExchange : public RunnerClient {
  public:
-  Id start(const AttemptRequest&, std::shared_ptr<AttemptWatcher>) override { return 0; }
+  Id start(const AttemptRequest&, std::shared_ptr<AttemptObserver>) override { return 0; }
   void cancel(Id) override {}
   void hold(Id, bool) override {}
 };
@@ -69,34 +69,34 @@
  public:
   Hollow(const LoopbackSize& size, std::size_t number, std::vector<Address> seeds, boost::asio::io_context& loop)
       : thread_("hollow", &loop),
-        wire_(
-            place(size, number, 0), [](View) {}, &loop) {
+        transport_(
+            place(size, number, 0), [](StringView) {}, &loop) {
     Member self;
     self.address = self.callers = self.control = place(size, number, 0);
     self.zone = ZoneId(zone(number));
     self.incarnation = new_incarnation(
-        std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch()), thread_.random());
+        std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()), thread_.random());
     self.version = "hollow";
     for (const char* slice : {"sessions", "news", "routes", "scale"}) {
-      Messenger& messenger = *(
-          posts_[slice] = std::make_unique<Messenger>(wire_, thread_.timers(), self.address, self.incarnation, slice));
-      wire_.route(slice, [this, &messenger](Envelope envelope) {
+      Messenger& messenger = *(posts_[slice] = std::make_unique<Messenger>(transport_, thread_.timers(), self.address,
+                                                                           self.incarnation, slice));
+      transport_.route(slice, [this, &messenger](Envelope envelope) {
         thread_.offer([&messenger, envelope = std::move(envelope)]() mutable { messenger.take(std::move(envelope)); });
       });
     }
     sessions_ = std::make_unique<Sessions>(*posts_["sessions"], shared_state, self, std::move(seeds));
-    news_ = std::make_unique<News>(*posts_["news"], shared_state, thread_.random(), false);
-    entries_ = std::make_unique<Router>(*posts_["routes"], shared_state, exchange_, thread_.random(), self);
+    news_ = std::make_unique<ConfigurationGossip>(*posts_["news"], shared_state, thread_.random(), false);
+    entries_ = std::make_unique<Router>(*posts_["routes"], shared_state, runner_client_, thread_.random(), self);
     client_ = std::make_unique<StoreClient>(*posts_["scale"], shared_state);
   }
-  Result<Done> start() {
-    if (auto listening = wire_.listen(); fault_of(listening)) return listening;
+  Result<Success> start() {
+    if (auto listening = transport_.listen(); error_of(listening)) return listening;
     thread_.offer([this] {
       sessions_->start();
       news_->start();
       entries_->start();
     });
-    return Done{};
+    return Success{};
   }
   void write(const std::string& key, const std::string& text, std::function<void(Result<WriteReply>)> then) {
     Write request;
@@ -106,21 +106,21 @@
   }
   void tell_runners(const RunnerListing& listing) {
     thread_.offer([this, listing] {
-      posts_["scale"]->tell(
-          posts_["scale"]->self(),
-          Spread{{NewsItem{std::string(listing_key), Stamp{Epoch{1}, Version{1}}, false, to_cbor(listing)}}});
+      posts_["scale"]->send(posts_["scale"]->self(),
+                            PushUpdates{{ConfigurationUpdate{std::string(listing_key), Stamp{Epoch{1}, Version{1}},
+                                                             false, to_cbor(listing)}}});
     });
   }
-  const WireCounts& counts() const { return wire_.counts(); }
+  const WireCounts& counts() const { return transport_.counts(); }
   SharedState shared_state;
 
  private:
   DutyThread thread_;
-  TcpWire wire_;
-  NoExchange exchange_;
+  TcpTransport transport_;
+  NoExchange runner_client_;
   std::map<std::string, std::unique_ptr<Messenger>> posts_;
   std::unique_ptr<Sessions> sessions_;
-  std::unique_ptr<News> news_;
+  std::unique_ptr<ConfigurationGossip> news_;
   std::unique_ptr<Router> entries_;
   std::unique_ptr<StoreClient> client_;
 };
@@ -161,8 +161,8 @@
 }
 
 template <class Condition>
-std::optional<std::int64_t> wait(Span most, Condition condition) {
-  const Moment began = steady_now();
+std::optional<std::int64_t> wait(Duration most, Condition condition) {
+  const TimePoint began = steady_now();
   while (!condition()) {
     if (steady_now() - began > most) return std::nullopt;
     std::this_thread::sleep_for(milliseconds(2));
@@ -172,9 +172,9 @@
 
 }  // namespace
 
-Result<Done> check_size(const LoopbackSize& size, std::uint64_t memory) {
+Result<Success> check_size(const LoopbackSize& size, std::uint64_t memory) {
   auto wrong = [](const std::string& field, const std::string& message, const std::string& remedy) {
-    return Fault{FaultKind::invalid, field, message, remedy};
+    return Error{ErrorKind::invalid, field, message, remedy};
   };
   if (size.control < 3 || size.real < size.control)
     return wrong("real", "the real daemons are fewer than those of control, or these are under 3",
@@ -203,7 +203,7 @@
                  "give fewer daemons or runners");
   if (::access(size.program.c_str(), X_OK) != 0)
     return wrong("program", "'" + size.program + "' can't be run", "name the mothwalk-daemon to measure");
-  return Done{};
+  return Success{};
 }
 
 std::vector<std::string> run(const LoopbackSize& size) {
@@ -248,7 +248,7 @@
   std::vector<std::unique_ptr<Hollow>> hollows;
   for (std::size_t index = 0; index < size.hollow; ++index) {
     hollows.push_back(std::make_unique<Hollow>(size, size.real + index, seeds, loops.of(index)));
-    if (auto started = hollows.back()->start(); fault_of(started)) broken.push_back(fault_of(started)->message);
+    if (auto started = hollows.back()->start(); error_of(started)) broken.push_back(error_of(started)->message);
   }
   Hollow& first = *hollows.front();
   auto write = [&](const std::string& key, const json::object& spec) {
@@ -256,7 +256,7 @@
     for (int attempt = 0; attempt < 6 && *good != 1; ++attempt) {
       *good = 0;
       first.write(key, json::serialize(spec),
-                  [good](Result<WriteReply> result) { *good = fault_of(result) == nullptr ? 1 : 2; });
+                  [good](Result<WriteReply> result) { *good = error_of(result) == nullptr ? 1 : 2; });
       wait(seconds(12), [&] { return *good != 0; });
     }
     if (*good != 1) broken.push_back(key + " was not taken");
@@ -286,7 +286,7 @@
                                                                   8,
                                                                   false,
                                                                   1,
-                                                                  Span{}};
+                                                                  Duration{}};
     first.tell_runners(listing);
     const auto known = wait(seconds(30), [&] {
       return all_hollow([&](Hollow& hollow) {
@@ -311,7 +311,7 @@
     std::map<pid_t, double> before;
     for (const auto& real : reals) before[real.pid] = spent(real.pid).first;
     const double own_before = own(), bytes_before = counted();
-    const Moment began = steady_now();
+    const TimePoint began = steady_now();
     std::this_thread::sleep_for(seconds(size.seconds));
     const double span = static_cast<double>((steady_now() - began).count()) / 1e6;
     std::cout << std::fixed << std::setprecision(2) << "\nloopback, " << size.real << " real daemons (" << size.control
@@ -336,7 +336,7 @@
     std::vector<std::int64_t> spans;
     for (std::size_t change = 1; change <= size.changes; ++change) {
       const std::size_t number = change % size.lanes;
-      const Moment sent = steady_now();
+      const TimePoint sent = steady_now();
       if (!write("lane/lane-" + std::to_string(number), lane(number, change))) break;
       std::vector<Hollow*> lacking;
       for (const auto& hollow : hollows) lacking.push_back(hollow.get());
--- a/source/scale/loopback.hpp
+++ b/source/scale/loopback.hpp
@@ -11,7 +11,7 @@
   std::string program;  // mothwalk-daemon
 };
 
-Result<Done> check_size(const LoopbackSize& size, std::uint64_t memory);
+Result<Success> check_size(const LoopbackSize& size, std::uint64_t memory);
 // Prints its figures; gives what went wrong.
 std::vector<std::string> run(const LoopbackSize& size);
 
--- a/source/scale/main.cpp
+++ b/source/scale/main.cpp
@@ -215,8 +215,8 @@
   if (over_loopback) {
     for (const std::size_t each : daemons) {
       loopback.hollow = each;
-      if (auto result = check_size(loopback, memory); fault_of(result))
-        return usage(fault_of(result)->field + ": " + fault_of(result)->message + "; " + fault_of(result)->remedy);
+      if (auto result = check_size(loopback, memory); error_of(result))
+        return usage(error_of(result)->field + ": " + error_of(result)->message + "; " + error_of(result)->remedy);
     }
     bool sound = true;
     for (const std::size_t each : daemons) {
@@ -232,8 +232,8 @@
   for (const std::size_t each : daemons) {
     Size checked = size;
     checked.daemons = each;
-    if (auto result = check_size(checked, memory); fault_of(result))
-      return usage(fault_of(result)->field + ": " + fault_of(result)->message + "; " + fault_of(result)->remedy);
+    if (auto result = check_size(checked, memory); error_of(result))
+      return usage(error_of(result)->field + ": " + error_of(result)->message + "; " + error_of(result)->remedy);
   }
   std::vector<std::vector<double>> all;
   bool good = true;
--- a/source/scale/scale.cpp
+++ b/source/scale/scale.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <fstream>
 
-#include "news/news.hpp"
+#include "gossip/configuration_gossip.hpp"
 
 namespace mothwalk::scale {
 
@@ -64,16 +64,17 @@
   RunnerListing listing;
   for (const auto& runner : cluster.runners)
     listing.runners[runner->name] =
-        Runner{KindId(runner->kind), runner->address, ZoneId(runner->zone), runner->slots, false, 1, Span{}};
-  const Spread spread{{NewsItem{std::string(listing_key), Stamp{Epoch{1}, Version{1}}, false, to_cbor(listing)}}};
+        Runner{KindId(runner->kind), runner->address, ZoneId(runner->zone), runner->slots, false, 1, Duration{}};
+  const PushUpdates spread{
+      {ConfigurationUpdate{std::string(listing_key), Stamp{Epoch{1}, Version{1}}, false, to_cbor(listing)}}};
   Machine& machine = *cluster.machines.back();
-  machine.take(Envelope{Address("poller:1"), 1, "news", "listing", std::string(Spread::kind), 0, false, to_cbor(spread),
-                        protocol_number});
+  machine.take(Envelope{Address("poller:1"), 1, "news", "listing", std::string(PushUpdates::kind), 0, false,
+                        to_cbor(spread), protocol_number});
 }
 
 template <class Condition>
-std::optional<std::int64_t> wait(World& world, Span most, Condition condition) {
-  const Moment began = world.now();
+std::optional<std::int64_t> wait(World& world, Duration most, Condition condition) {
+  const TimePoint began = world.now();
   while (!condition()) {
     if (world.now() - began > most) return std::nullopt;
     world.run_until(world.now() + milliseconds(5));
@@ -96,7 +97,7 @@
     sent[machine.get()] = machine->bytes;
   }
   world.measuring = true;
-  const Moment began = world.now();
+  const TimePoint began = world.now();
   world.run_until(began + figures.size.window);
   world.measuring = false;
   figures.seconds = static_cast<double>((world.now() - began).count()) / 1e6;
@@ -133,7 +134,7 @@
     std::vector<Machine*> lacking;
     for (auto& machine : cluster.machines)
       if (machine->alive()) lacking.push_back(machine.get());
-    const Moment began = cluster.world.now();
+    const TimePoint began = cluster.world.now();
     wait(cluster.world, seconds(10), [&] {
       std::erase_if(lacking, [&](Machine* machine) {
         const auto configuration = machine->shared_state().configuration.get();
@@ -170,9 +171,9 @@
 
 }  // namespace
 
-Result<Done> check_size(const Size& size, std::uint64_t memory) {
+Result<Success> check_size(const Size& size, std::uint64_t memory) {
   auto wrong = [](const std::string& field, const std::string& message, const std::string& remedy) {
-    return Fault{FaultKind::invalid, field, message, remedy};
+    return Error{ErrorKind::invalid, field, message, remedy};
   };
   if (size.control < 3)
     return wrong("control", std::to_string(size.control) + " control daemons can lose none", "give 3 or more");
@@ -192,7 +193,7 @@
                  "the run may need " + std::to_string(needed >> 20) + " MB, over half of the machine's " +
                      std::to_string(memory >> 20) + " MB",
                  "give fewer daemons or runners");
-  return Done{};
+  return Success{};
 }
 
 Figures run(const Size& size) {
--- a/source/scale/scale.hpp
+++ b/source/scale/scale.hpp
@@ -10,7 +10,7 @@
   std::size_t runners = 600, kinds = 4, lanes = 12;
   double requests = 0;       // live requests a second, of all callers
   std::size_t changes = 10;  // of a lane, one after another
-  Span window = std::chrono::seconds(10);
+  Duration window = std::chrono::seconds(10);
   std::uint64_t seed = 1;
 };
 
@@ -35,7 +35,7 @@
 };
 
 // Whether a size fits this machine and the run: the fault names the bound and the remedy.
-Result<Done> check_size(const Size& size, std::uint64_t memory);
+Result<Success> check_size(const Size& size, std::uint64_t memory);
 Figures run(const Size& size);
 
 }  // namespace mothwalk::scale
--- a/source/sessions/messenger.cpp
+++ b/source/sessions/messenger.cpp
@@ -3,17 +3,17 @@
 
 namespace mothwalk {
 
-void Messenger::send(const Address& to, View kind, std::uint64_t call, Bytes body) {
+void Messenger::send_envelope(const Address& to, StringView kind, std::uint64_t call, Bytes body) {
   Envelope envelope{self_,  incarnation_,      std::string(kind.substr(0, kind.find('.'))),
                     slice_, std::string(kind), call,
                     false,  std::move(body),   protocol_number};
-  wire_.send(to, std::move(envelope));
+  transport_.send(to, std::move(envelope));
 }
 
-void Messenger::reply(const Address& to, const std::string& slice, std::uint64_t call, View kind, Bytes body) {
+void Messenger::reply(const Address& to, const std::string& slice, std::uint64_t call, StringView kind, Bytes body) {
   if (call == 0) return;
-  wire_.send(to, Envelope{self_, incarnation_, slice, slice_, std::string(kind), call, true, std::move(body),
-                          protocol_number});
+  transport_.send(to, Envelope{self_, incarnation_, slice, slice_, std::string(kind), call, true, std::move(body),
+                               protocol_number});
 }
 
 void Messenger::finish(std::uint64_t call, Result<Bytes> result) {
@@ -30,7 +30,7 @@
   if (envelope.protocol != protocol_number && !(envelope.reply && envelope.kind == "fault"))
     return envelope.reply ? void()
                           : reply(envelope.from, envelope.sender, envelope.call, "fault",
-                                  to_cbor(WireFault{static_cast<std::int32_t>(FaultKind::refused), "protocol",
+                                  to_cbor(WireError{static_cast<std::int32_t>(ErrorKind::refused), "protocol",
                                                     "this daemon speaks protocol " + std::to_string(protocol_number) +
                                                         ", the other one " + std::to_string(envelope.protocol),
                                                     "run versions of mothwalk that speak one protocol"}));
@@ -38,17 +38,17 @@
     auto found = waiting_.find(envelope.call);
     if (found == waiting_.end() || found->second.to != envelope.from) return;
     if (envelope.kind != "fault") return finish(envelope.call, std::move(envelope.body));
-    auto fault = from_cbor<WireFault>(envelope.body);
-    if (!fault || fault->kind < 0 || fault->kind > static_cast<std::int32_t>(FaultKind::lost))
-      fault = WireFault{static_cast<std::int32_t>(FaultKind::damaged), "reply", "a peer's fault could not be read",
+    auto error = from_cbor<WireError>(envelope.body);
+    if (!error || error->kind < 0 || error->kind > static_cast<std::int32_t>(ErrorKind::lost))
+      error = WireError{static_cast<std::int32_t>(ErrorKind::damaged), "reply", "a peer's fault could not be read",
                         "run daemons of versions that agree"};
     return finish(envelope.call,
-                  Fault{static_cast<FaultKind>(fault->kind), fault->field, fault->message, fault->remedy});
+                  Error{static_cast<ErrorKind>(error->kind), error->field, error->message, error->remedy});
   }
   auto handler = handlers_.find(envelope.kind);
   if (handler != handlers_.end()) return handler->second(envelope);
   reply(envelope.from, envelope.sender, envelope.call, "fault",
-        to_cbor(WireFault{static_cast<std::int32_t>(FaultKind::unknown_name), "kind",
+        to_cbor(WireError{static_cast<std::int32_t>(ErrorKind::unknown_name), "kind",
                           "this daemon does not know the message " + envelope.kind,
                           "run daemons of versions that agree"}));
 }
--- a/source/sessions/sessions.cpp
+++ b/source/sessions/sessions.cpp
@@ -8,28 +8,29 @@
 Sessions::Sessions(Messenger& messenger, SharedState& shared_state, Member self, std::vector<Address> seeds)
     : messenger_(messenger), shared_state_(shared_state), self_(std::move(self)) {
   shared_state_.seeds.set(std::move(seeds));
-  messenger_.on_ask<Beat>([this](const Address& from, Beat beat, Answer<BeatReply> answer) {
+  messenger_.on_request<Heartbeat>([this](const Address& from, Heartbeat beat, ReplyCallback<HeartbeatReply> answer) {
     if (beat.member.address != from)
-      return answer(Fault{FaultKind::invalid, "member.address", "the beat comes from another address than it names",
+      return answer(Error{ErrorKind::invalid, "member.address", "the beat comes from another address than it names",
                           "give each daemon the address that it is reached by"});
     answer(take_beat(from, std::move(beat)));
   });
-  messenger_.on_tell<Share>([this](const Address& from, Share share) { take_share(from, std::move(share)); });
-  messenger_.on_tell<ShareRequest>([this](const Address& from, ShareRequest) {
-    if (control()) messenger_.tell(from, Share{self_, true, 0, shared_digest_, changes_between({}, shared_)});
+  messenger_.on_message<SessionExchange>(
+      [this](const Address& from, SessionExchange share) { take_share(from, std::move(share)); });
+  messenger_.on_message<SessionExchangeRequest>([this](const Address& from, SessionExchangeRequest) {
+    if (control()) messenger_.send(from, SessionExchange{self_, true, 0, shared_digest_, changes_between({}, shared_)});
   });
-  messenger_.on_tell<Introduction>([this](const Address&, Introduction introduction) {
+  messenger_.on_message<Introduction>([this](const Address&, Introduction introduction) {
     for (const auto& member : introduction.members) remember(member);
   });
 }
 
-void Sessions::take_share(const Address& from, Share share) {
+void Sessions::take_share(const Address& from, SessionExchange share) {
   if (!share.member.keeps_control() || share.member.address != from || from == self_.address) return;
   // Who is new here is told of the others; one that keeps no control state only passes the word on.
   if (!control() || !peers_.contains(from)) {
     Introduction introduction{known_control()};
     std::erase_if(introduction.members, [&](const Member& each) { return each.address == from; });
-    if (!introduction.members.empty()) messenger_.tell(from, introduction);
+    if (!introduction.members.empty()) messenger_.send(from, introduction);
   }
   if (!control()) return void(remember(share.member));
   Peer& peer = peers_[from];
@@ -38,7 +39,7 @@
   peer.member = std::move(share.member);
   peer.heard = messenger_.timers().now();
   if (!share.whole && share.before != peer.digest)
-    messenger_.tell(from, ShareRequest{});
+    messenger_.send(from, SessionExchangeRequest{});
   else
     peer.digest = apply(share.changes, peer.sessions, peer.digest);
   rebuild();
@@ -62,12 +63,12 @@
 // still hear it, and would otherwise wait for it as the owner of its slots.
 bool Sessions::out_of_contact() const {
   if (!control() || shared_state_.configuration.get()->roster.seats.empty()) return false;
-  const Moment lapsed{shared_state_.lease_until.load()};
+  const TimePoint lapsed{shared_state_.lease_until.load()};
   return messenger_.timers().now() - lapsed > contact_slack;
 }
 
-BeatReply Sessions::take_beat(const Address& from, Beat beat) {
-  BeatReply reply;
+HeartbeatReply Sessions::take_beat(const Address& from, Heartbeat beat) {
+  HeartbeatReply reply;
   reply.accepted = may_be_home(beat.member);
   if (reply.accepted) {
     Session& session = sessions_[from];
@@ -85,7 +86,7 @@
   return reply;
 }
 
-void Sessions::tell_changes(BeatReply& reply) const {
+void Sessions::tell_changes(HeartbeatReply& reply) const {
   reply.digest = digest_;
   if (reply.before == digest_) return;
   if (auto changes = history_.since(reply.before, table_)) {
@@ -140,17 +141,17 @@
 }
 
 void Sessions::share() {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   std::erase_if(sessions_, [&](const auto& each) { return now - each.second.heard > stand_span; });
   MemberTable standing;
   for (const auto& [address, session] : sessions_) standing.emplace(address, session.member);
-  Share share{self_, false, shared_digest_, 0, changes_between(shared_, standing)};
+  SessionExchange share{self_, false, shared_digest_, 0, changes_between(shared_, standing)};
   shared_digest_ = share.digest = apply(share.changes, shared_, shared_digest_);
-  for (const Address& address : candidates()) messenger_.tell(address, share);
+  for (const Address& address : candidates()) messenger_.send(address, share);
 }
 
 void Sessions::rebuild() {
-  const Moment now = messenger_.timers().now();
+  const TimePoint now = messenger_.timers().now();
   MemberTable table;
   table[self_.address] = self_;
   auto add = [&](const Member& member) {
@@ -176,9 +177,9 @@
   set_members(self_.address, std::move(table));
 }
 
-void Sessions::set_members(const Address& home, MemberTable all) {
+void Sessions::set_members(const Address& session_server, MemberTable all) {
   Members members;
-  members.home = home;
+  members.session_server = session_server;
   for (const auto& [address, member] : all) members.control_daemons += member.keeps_control();
   members.all = std::move(all);
   shared_state_.members.set(std::move(members));
@@ -188,8 +189,8 @@
   return !home_.empty() && messenger_.timers().now() - home_heard_ < stand_span;
 }
 
-void Sessions::lose_home(const Address& home) {
-  if (home != home_) return;
+void Sessions::lose_home(const Address& session_server) {
+  if (session_server != home_) return;
   home_ = Address{};
   turn_ = 0;
 }
@@ -204,13 +205,13 @@
 
 void Sessions::beat_to(const Address& to) {
   if (!asking_.insert(to).second) return;
-  messenger_.ask(to, Beat{self_, digest_}, std::chrono::milliseconds(300),
-                 [this, to](Result<BeatReply> result) { finish_beat(to, std::move(result)); });
+  messenger_.request(to, Heartbeat{self_, digest_}, std::chrono::milliseconds(300),
+                     [this, to](Result<HeartbeatReply> result) { finish_beat(to, std::move(result)); });
 }
 
-void Sessions::finish_beat(const Address& to, Result<BeatReply> result) {
+void Sessions::finish_beat(const Address& to, Result<HeartbeatReply> result) {
   asking_.erase(to);
-  auto* reply = std::get_if<BeatReply>(&result);
+  auto* reply = std::get_if<HeartbeatReply>(&result);
   if (reply == nullptr) return lose_home(to);
   if (reply->accepted) {
     if (!has_home() || home_ == to) enter_home(to, *reply);
@@ -224,20 +225,20 @@
   if ((was_home || fresh) && !has_home()) beat();
 }
 
-void Sessions::enter_home(const Address& home, const BeatReply& reply) {
-  home_ = home;
+void Sessions::enter_home(const Address& session_server, const HeartbeatReply& reply) {
+  home_ = session_server;
   home_heard_ = messenger_.timers().now();
   turn_ = 0;
   const bool changed = take_members(reply);
-  if (!changed && shared_state_.members.get()->home == home) return;
+  if (!changed && shared_state_.members.get()->session_server == session_server) return;
   MemberTable all = table_;
   all[self_.address] = self_;
-  set_members(home, std::move(all));
+  set_members(session_server, std::move(all));
 }
 
 // False where nothing changed. Changes since a digest that is no longer that of the table here are left for the next
 // beat.
-bool Sessions::take_members(const BeatReply& reply) {
+bool Sessions::take_members(const HeartbeatReply& reply) {
   if (reply.digest == digest_ || (!reply.whole && reply.before != digest_)) return false;
   if (reply.whole) {
     table_.clear();
--- a/source/sessions/sessions.hpp
+++ b/source/sessions/sessions.hpp
@@ -10,7 +10,7 @@
 
 namespace mothwalk {
 
-struct BeatReply {
+struct HeartbeatReply {
   bool accepted = false;
   bool whole = false;        // the changes are all members of the home, not what moved since the beat's digest
   std::uint64_t before = 0;  // the beat's digest
@@ -19,16 +19,16 @@
   std::vector<Member> control_daemons;  // those known to one that accepts no beat
   MOTHWALK_FIELDS(accepted, whole, before, digest, changes, control_daemons)
 };
-struct Beat {
-  static constexpr View kind = "sessions.beat";
-  using Reply = BeatReply;
+struct Heartbeat {
+  static constexpr StringView kind = "sessions.beat";
+  using Reply = HeartbeatReply;
   Member member;
   std::uint64_t digest = 0;
   MOTHWALK_FIELDS(member, digest)
 };
 // The sessions of a control daemon: all of them, or what moved since its last share.
-struct Share {
-  static constexpr View kind = "sessions.share";
+struct SessionExchange {
+  static constexpr StringView kind = "sessions.share";
   Member member;
   bool whole = false;
   std::uint64_t before = 0, digest = 0;
@@ -36,15 +36,15 @@
   MOTHWALK_FIELDS(member, whole, before, digest, changes)
 };
 // Asks for a whole share: the last one did not go on from what is known here.
-struct ShareRequest {
-  static constexpr View kind = "sessions.share_request";
+struct SessionExchangeRequest {
+  static constexpr StringView kind = "sessions.share_request";
   bool whole = true;
   MOTHWALK_FIELDS(whole)
 };
 
 // Names control daemons to one that does not know them.
 struct Introduction {
-  static constexpr View kind = "sessions.introduction";
+  static constexpr StringView kind = "sessions.introduction";
   std::vector<Member> members;
   MOTHWALK_FIELDS(members)
 };
@@ -55,19 +55,19 @@
   void start();
 
  private:
-  static constexpr Span beat_span = std::chrono::milliseconds(200);
-  static constexpr Span stand_span = std::chrono::milliseconds(900);
-  static constexpr Span remembered_span = std::chrono::seconds(5);
+  static constexpr Duration beat_span = std::chrono::milliseconds(200);
+  static constexpr Duration stand_span = std::chrono::milliseconds(900);
+  static constexpr Duration remembered_span = std::chrono::seconds(5);
   static constexpr std::uint64_t ticks_to_seeds = 10;
-  static constexpr Span contact_slack = std::chrono::milliseconds(300);  // past a lease, before slots are given up
-  static constexpr std::size_t search_width = 3;                         // candidates that are asked at once for a home
+  static constexpr Duration contact_slack = std::chrono::milliseconds(300);  // past a lease, before slots are given up
+  static constexpr std::size_t search_width = 3;  // candidates that are asked at once for a home
   struct Session {
     Member member;
-    Moment heard;
+    TimePoint heard;
   };
   struct Peer {
     Member member;
-    Moment heard;
+    TimePoint heard;
     MemberTable sessions;
     std::uint64_t digest = 0;
   };
@@ -77,20 +77,20 @@
   void tick();
   bool out_of_contact() const;
   bool may_be_home(const Member& member) const;
-  BeatReply take_beat(const Address& from, Beat beat);
-  void tell_changes(BeatReply& reply) const;
-  void take_share(const Address& from, Share share);
+  HeartbeatReply take_beat(const Address& from, Heartbeat beat);
+  void tell_changes(HeartbeatReply& reply) const;
+  void take_share(const Address& from, SessionExchange share);
   void beat();
   void beat_to(const Address& to);
-  void finish_beat(const Address& to, Result<BeatReply> result);
+  void finish_beat(const Address& to, Result<HeartbeatReply> result);
   bool has_home() const;
-  void lose_home(const Address& home);
-  void enter_home(const Address& home, const BeatReply& reply);
-  bool take_members(const BeatReply& reply);
+  void lose_home(const Address& session_server);
+  void enter_home(const Address& session_server, const HeartbeatReply& reply);
+  bool take_members(const HeartbeatReply& reply);
   void share();
   void rebuild();
   void publish(MemberTable table);
-  void set_members(const Address& home, MemberTable all);
+  void set_members(const Address& session_server, MemberTable all);
   std::vector<Address> candidates() const;
 
   Messenger& messenger_;
@@ -100,7 +100,7 @@
   std::map<Address, Peer> peers_;
   std::map<Address, Session> heard_;  // control daemons that this one was told of
   Address home_;
-  Moment home_heard_;
+  TimePoint home_heard_;
   std::size_t turn_ = 0;
   std::uint64_t ticks_ = 0;
   std::set<Address> asking_;  // beats under way
--- a/source/sessions/shared_state.cpp
+++ b/source/sessions/shared_state.cpp
@@ -12,7 +12,7 @@
       std::count_if(all.begin(), all.end(), [](const auto& member) { return member.second.routes(); }));
 }
 
-const Member* Members::holder(const HolderId& id) const {
+const Member* Members::holder(const StorageNodeId& id) const {
   for (const auto& [address, member] : all)
     if (member.holder == id) return &member;
   return nullptr;
@@ -39,39 +39,39 @@
   return list;
 }
 
-std::uint64_t new_incarnation(Span wall, RandomSource& random) {
+std::uint64_t new_incarnation(Duration wall, RandomSource& random) {
   return static_cast<std::uint64_t>(wall.count() / 1000) << 20 | (random.next() & random_part_of_incarnation);
 }
 
-std::uint32_t slot_of(View key) {
+std::uint32_t slot_of(StringView key) {
   return static_cast<std::uint32_t>(hash_of(key) % slot_count);
 }
 
-std::vector<const Seat*> slot_order(const Roster& roster, std::uint32_t slot) {
-  std::vector<const Seat*> order;
+std::vector<const Voter*> slot_order(const Roster& roster, std::uint32_t slot) {
+  std::vector<const Voter*> order;
   for (const auto& seat : roster.seats) order.push_back(&seat);
-  std::sort(order.begin(), order.end(), [&](const Seat* left, const Seat* right) {
+  std::sort(order.begin(), order.end(), [&](const Voter* left, const Voter* right) {
     if (left->joining != right->joining) return right->joining;
     return hash_of(left->holder.text, slot + 1) > hash_of(right->holder.text, slot + 1);
   });
   return order;
 }
 
-const Seat* slot_owner(const Roster& roster, const Members& members, std::uint32_t slot) {
-  for (const Seat* seat : slot_order(roster, slot)) {
+const Voter* slot_owner(const Roster& roster, const Members& members, std::uint32_t slot) {
+  for (const Voter* seat : slot_order(roster, slot)) {
     const Member* member = members.holder(seat->holder);
     if (member != nullptr && !member->stalled) return seat;
   }
   return nullptr;
 }
 
-const Seat* key_owner(const ConfigurationView& configuration, const Members& members, View key) {
-  const Seat* seat = slot_owner(configuration.roster_of(key), members, slot_of(key));
+const Voter* key_owner(const ConfigurationView& configuration, const Members& members, StringView key) {
+  const Voter* seat = slot_owner(configuration.roster_of(key), members, slot_of(key));
   const Member* member = seat == nullptr ? nullptr : members.holder(seat->holder);
   return member != nullptr && (lot_key(key) ? member->keeps_lots() : member->keeps_control()) ? seat : nullptr;
 }
 
-std::vector<const Member*> duty_order(const Members& members, View duty, const ZoneId& zone) {
+std::vector<const Member*> duty_order(const Members& members, StringView duty, const ZoneId& zone) {
   std::vector<const Member*> order;
   for (const auto& [address, member] : members.all) order.push_back(&member);
   std::sort(order.begin(), order.end(), [&](const Member* left, const Member* right) {
--- a/source/sessions/shared_state.hpp
+++ b/source/sessions/shared_state.hpp
@@ -5,7 +5,7 @@
 #include <mutex>
 
 #include "configuration/resources.hpp"
-#include "seams/seams.hpp"
+#include "interfaces/interfaces.hpp"
 
 namespace mothwalk {
 
@@ -33,7 +33,7 @@
   ZoneId zone;
   Address callers, control;  // HTTP sides
   std::uint64_t incarnation = 0;
-  HolderId holder;       // empty where the daemon has no data folder
+  StorageNodeId holder;  // empty where the daemon has no data folder
   bool stalled = false;  // it can own nothing: its disk does not answer, or it lost contact to a majority
   Version roster;        // the roster version it knows; zero for none
   std::string version;   // of the program
@@ -48,9 +48,9 @@
 
 struct Members {
   std::map<Address, Member> all;
-  Address home;  // the control daemon that this daemon's session stands with
+  Address session_server;  // the control daemon that this daemon's session stands with
   std::size_t control_daemons = 0;
-  const Member* holder(const HolderId& id) const;
+  const Member* holder(const StorageNodeId& id) const;
   std::size_t routing() const;  // how many of them route requests
 };
 
@@ -65,7 +65,7 @@
   MOTHWALK_FIELDS(open, items, foreign)
 };
 struct KindTotals {
-  Moment heard;
+  TimePoint heard;
   std::map<std::string, RunnerTotal> runners;
 };
 
@@ -75,24 +75,24 @@
   Shared<Members> members;
   Shared<ConfigurationView> configuration;
   Shared<Ownership> owned;
-  Shared<std::map<std::string, KindTotals>> load;  // by kind
-  std::atomic<std::int64_t> lease_until{-1};       // Moment; news was known whole with a majority's control daemon
-  std::atomic<std::int64_t> lease_sought{-1};      // since when a lapsed lease is being sought
-  std::atomic<std::int64_t> news_tick{-1};         // when news last ran: after a freeze this is old
+  Shared<std::map<std::string, KindTotals>> load;    // by kind
+  std::atomic<std::int64_t> lease_until{-1};         // Moment; news was known whole with a majority's control daemon
+  std::atomic<std::int64_t> lease_sought_since{-1};  // since when a lapsed lease is being sought
+  std::atomic<std::int64_t> gossip_tick{-1};         // when news last ran: after a freeze this is old
   std::atomic<bool> stalled{false};
   std::atomic<bool> draining{false};
-  bool has_lease(Moment now) const { return lease_until.load() >= now.microseconds; }
-  bool was_fresh() const { return lease_until.load() >= 0; }  // once at least in this life
+  bool has_lease(TimePoint now) const { return lease_until.load() >= now.microseconds; }
+  bool was_ever_fresh() const { return lease_until.load() >= 0; }  // once at least in this life
   // A lapsed lease was sought in vain for so long that the newest configuration known stays in force.
-  bool stands_alone(Moment now) const {
-    const std::int64_t sought = lease_sought.load();
-    return sought >= 0 && now - Moment{sought} > std::chrono::milliseconds(1000);
+  bool is_isolated(TimePoint now) const {
+    const std::int64_t sought = lease_sought_since.load();
+    return sought >= 0 && now - TimePoint{sought} > std::chrono::milliseconds(1000);
   }
   // Whether requests may be served by the configuration known here: under a lease, or statically. A process that was
   // frozen, and whose news has not run since, does neither.
-  bool may_serve(Moment now) const {
-    const bool awake = now - Moment{news_tick.load()} < std::chrono::milliseconds(600);
-    return has_lease(now) || (was_fresh() && awake && stands_alone(now));
+  bool may_serve_requests(TimePoint now) const {
+    const bool awake = now - TimePoint{gossip_tick.load()} < std::chrono::milliseconds(600);
+    return has_lease(now) || (was_ever_fresh() && awake && is_isolated(now));
   }
   void take_totals(const std::string& kind, KindTotals totals) {
     auto all = *load.get();
@@ -111,20 +111,20 @@
 
 // The number of a process's life: of the wall clock, so that later lives mostly have higher ones, and of random, so
 // that a clock set back never makes two lives look the same.
-std::uint64_t new_incarnation(Span wall, RandomSource& random);
+std::uint64_t new_incarnation(Duration wall, RandomSource& random);
 
 inline constexpr std::uint32_t slot_count = 32;
-std::uint32_t slot_of(View key);
+std::uint32_t slot_of(StringView key);
 // The seats of the roster in the order in which they come to own a slot; those that are joining come last.
-std::vector<const Seat*> slot_order(const Roster& roster, std::uint32_t slot);
+std::vector<const Voter*> slot_order(const Roster& roster, std::uint32_t slot);
 // The first live seat in that order, or none.
-const Seat* slot_owner(const Roster& roster, const Members& members, std::uint32_t slot);
+const Voter* slot_owner(const Roster& roster, const Members& members, std::uint32_t slot);
 // The seat that owns a key, of the roster whose holders keep it; none while that one is not known.
-const Seat* key_owner(const ConfigurationView& configuration, const Members& members, View key);
-inline bool lot_key(View key) {
+const Voter* key_owner(const ConfigurationView& configuration, const Members& members, StringView key);
+inline bool lot_key(StringView key) {
   return key.starts_with("lot/");
 }
 // All live members in the agreed order for a single duty; those of the given zone first.
-std::vector<const Member*> duty_order(const Members& members, View duty, const ZoneId& zone);
+std::vector<const Member*> duty_order(const Members& members, StringView duty, const ZoneId& zone);
 
 }  // namespace mothwalk
--- a/source/simulate/benches.cpp
+++ b/source/simulate/benches.cpp
@@ -16,7 +16,7 @@
 
 bool make_ready(SimulatedCluster& cluster) {
   cluster.start();
-  while (!cluster.ready() && cluster.world.now() < Moment{} + seconds(60))
+  while (!cluster.ready() && cluster.world.now() < TimePoint{} + seconds(60))
     cluster.world.run_until(cluster.world.now() + milliseconds(100));
   cluster.world.run_until(cluster.world.now() + seconds(15));
   return cluster.ready();
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -11,14 +11,14 @@
 using std::chrono::milliseconds;
 
 namespace {
-constexpr Span longest_repeat = milliseconds(400);  // after a message, in which it may come a second time
-constexpr std::uint32_t short_item_bytes = 1000;    // up to these the body of an item is its name alone
+constexpr Duration longest_repeat = milliseconds(400);  // after a message, in which it may come a second time
+constexpr std::uint32_t short_item_bytes = 1000;        // up to these the body of an item is its name alone
 }  // namespace
 
 // ---- machines
 
 Machine::Machine(SimulatedCluster& cluster, std::string given_name, std::string given_zone, bool disk,
-                 std::string given_keeps, Address given_address, Span time_per_kilobyte)
+                 std::string given_keeps, Address given_address, Duration time_per_kilobyte)
     : name(std::move(given_name)),
       zone(std::move(given_zone)),
       has_disk(disk),
@@ -36,7 +36,7 @@
   duties_ = std::make_unique<Duties>();
   disk_.own(life_);
   undisturbed_since = busy_until_ = world.now();
-  incarnation_ = new_incarnation(std::chrono::hours(1000000) + clock + (world.now() - Moment{}), world.random);
+  incarnation_ = new_incarnation(std::chrono::hours(1000000) + clock + (world.now() - TimePoint{}), world.random);
   Member self;
   self.address = address;
   self.zone = ZoneId(zone);
@@ -54,30 +54,31 @@
   if (first_start) duties_->founding = std::make_unique<Founding>(messenger("founding"), *shared_state_, *first_start);
   if (has_disk) {
     ReplicatedStore::Report report;
-    report.note = [this](View sentence) {
+    report.note = [this](StringView sentence) {
       cluster_.world.history(name + " kept: " + std::string(sentence));
     };
     duties_->kept = std::make_unique<ReplicatedStore>(messenger("store"), *shared_state_, disk_, world.random, self,
                                                       seeds, std::move(report), first_start);
-    if (auto loaded = duties_->kept->load(); fault_of(loaded)) {
+    if (auto loaded = duties_->kept->load(); error_of(loaded)) {
       if (disk_.unreadable > 0) {
         --disk_.unreadable;
         return kill(false);
       }
       if (!disk_.failing())
-        cluster_.broken.push_back("a holder could not read its own file: " + fault_of(loaded)->message);
+        cluster_.broken.push_back("a holder could not read its own file: " + error_of(loaded)->message);
       return end_and_start_again();
     }
     self.holder = duties_->kept->identity();
     if (self.keeps_control()) duties_->circle = std::make_unique<CircleDuty>(messenger("circle"), *shared_state_);
     if (self.keeps_lots()) duties_->lots = std::make_unique<Lots>(messenger("lots"), *shared_state_);
   }
-  duties_->live_exchange = std::make_unique<SimulatedExchange>(cluster_, name, zone, life_);
-  duties_->lot_exchange = std::make_unique<SimulatedExchange>(cluster_, name, zone, life_);
+  duties_->live_exchange = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, life_);
+  duties_->lot_exchange = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, life_);
   duties_->sessions = std::make_unique<Sessions>(messenger("sessions"), *shared_state_, self, seeds);
-  duties_->news = std::make_unique<News>(messenger("news"), *shared_state_, world.random, self.keeps_control());
+  duties_->news =
+      std::make_unique<ConfigurationGossip>(messenger("news"), *shared_state_, world.random, self.keeps_control());
   duties_->placing =
-      std::make_unique<Placing>(messenger("placing"), *shared_state_, *duties_->lot_exchange, world.random);
+      std::make_unique<ItemPlacer>(messenger("placing"), *shared_state_, *duties_->lot_exchange, world.random);
   duties_->entries =
       std::make_unique<Router>(messenger("routes"), *shared_state_, *duties_->live_exchange, world.random, self);
   duties_->control = std::make_unique<Control>(messenger("control"), *shared_state_, world.random, self,
@@ -140,7 +141,7 @@
   if (target == nullptr || !target->alive()) return;
   if (target == this) {
     auto shared = std::make_shared<Envelope>(std::move(envelope));
-    return world.at(Span{20}, life_,
+    return world.at(Duration{20}, life_,
                     [this, shared] { handle(shared->body.size(), [this, shared] { take(std::move(*shared)); }); });
   }
   // The form that goes over the wire is made and read here as well, so that the simulation covers it.
@@ -163,13 +164,13 @@
   };
   world.at(world.delay(zone, target->zone), target->life(), arrive);
   if (world.repeats > 0 && world.random.uniform() < world.repeats)
-    world.at(Span(static_cast<std::int64_t>(world.random.below(static_cast<std::size_t>(longest_repeat.count())))),
+    world.at(Duration(static_cast<std::int64_t>(world.random.below(static_cast<std::size_t>(longest_repeat.count())))),
              target->life(), arrive);
 }
 
 // A process that can't open its folder ends; the platform starts it again, whatever its disk does by then.
 void Machine::end_and_start_again() {
-  constexpr Span restart_pause = std::chrono::seconds(1);
+  constexpr Duration restart_pause = std::chrono::seconds(1);
   cluster_.world.history(name + " can't open its folder and ends");
   kill(false);
   cluster_.world.after(restart_pause, [this] {
@@ -178,9 +179,9 @@
 }
 
 void Machine::handle(std::size_t size, Task task) {
-  if (time_per_kilobyte_ == Span{}) return task();
+  if (time_per_kilobyte_ == Duration{}) return task();
   World& world = cluster_.world;
-  const Span time(time_per_kilobyte_.count() * static_cast<std::int64_t>(size) / 1024);
+  const Duration time(time_per_kilobyte_.count() * static_cast<std::int64_t>(size) / 1024);
   busy_until_ = std::max(busy_until_, world.now()) + time;
   world.at(busy_until_ - world.now(), life_, std::move(task));
 }
@@ -194,7 +195,7 @@
 
 // ---- the cluster
 
-class SimulatedCluster::Caller : public CallerSide, public std::enable_shared_from_this<SimulatedCluster::Caller> {
+class SimulatedCluster::Caller : public ResponseSink, public std::enable_shared_from_this<SimulatedCluster::Caller> {
  public:
   Caller(SimulatedCluster& cluster, std::uint64_t call,
          std::function<void(int, const std::vector<Header>&, const std::string&, bool, std::int64_t)> over)
@@ -203,7 +204,7 @@
     status_ = status;
     headers_ = headers;
   }
-  void piece(View piece) override {
+  void piece(StringView piece) override {
     if (text_.empty()) first_at_ = cluster_.world.milliseconds();
     text_.append(piece);
     ++waiting_;
@@ -230,10 +231,10 @@
   void finish(bool whole) {
     if (done_) return;
     done_ = true;
-    cluster_.world.after(Span(300), [over = over_, status = status_, headers = headers_, text = text_, whole,
-                                     first = first_at_] { over(status, headers, text, whole, first); });
+    cluster_.world.after(Duration(300), [over = over_, status = status_, headers = headers_, text = text_, whole,
+                                         first = first_at_] { over(status, headers, text, whole, first); });
     // The table entry goes as an event of its own: this may run while the calls are walked over.
-    cluster_.world.after(Span{0}, [&cluster = cluster_, call = call_] { cluster.calls_.erase(call); });
+    cluster_.world.after(Duration{0}, [&cluster = cluster_, call = call_] { cluster.calls_.erase(call); });
   }
   SimulatedCluster& cluster_;
   std::uint64_t call_;
@@ -269,7 +270,7 @@
     runner->zone = each.zone;
     runner->slots = each.slots;
     runner->connections =
-        each.idle > Span{} ? RunnerConnections(each.connections, each.idle) : RunnerConnections(each.connections);
+        each.idle > Duration{} ? RunnerConnections(each.connections, each.idle) : RunnerConnections(each.connections);
     runner->address = Address("10.0.1." + std::to_string(index + 1) + ":8000");
     runners.push_back(std::move(runner));
   }
@@ -297,7 +298,7 @@
 Machine& SimulatedCluster::add_machine(const std::string& zone, const std::string& keeps) {
   const std::string number = std::to_string(machines.size());
   // As fast as the others of its group.
-  Span time_per_kilobyte{};
+  Duration time_per_kilobyte{};
   for (const auto& machine : shape.machines)
     if (machine.disk && machine.keeps == keeps) time_per_kilobyte = machine.time_per_kilobyte;
   machines.push_back(std::make_unique<Machine>(*this, "machine-" + number, zone, true, keeps,
@@ -346,18 +347,18 @@
   auto finish = [this, done, then, number](int status, const std::string& text) {
     if (*done) return;
     *done = true;
-    world.after(Span(300), [then, status, text] { then(status, text); });
-    world.after(Span{0}, [this, number] { calls_.erase(number); });
+    world.after(Duration(300), [then, status, text] { then(status, text); });
+    world.after(Duration{0}, [this, number] { calls_.erase(number); });
   };
   if (!machine.alive()) {
-    world.after(Span(500), [then] { then(0, ""); });
+    world.after(Duration(500), [then] { then(0, ""); });
     return;
   }
   calls_[number] = Call{&machine, machine.life(), [finish] {
                           finish(0, "");
                         }};
   world.after(std::chrono::seconds(8), [finish] { finish(0, ""); });
-  world.at(Span(300), machine.life(), [&machine, method, target, body, callers, finish] {
+  world.at(Duration(300), machine.life(), [&machine, method, target, body, callers, finish] {
     if (machine.control() == nullptr) return;
     machine.control()->handle(ControlRequest{method, target, body, callers},
                               [finish](ControlReply reply) { finish(reply.status, json::serialize(reply.body)); });
@@ -431,7 +432,7 @@
   for (auto& [run, breaks] : streams) breaks();
 }
 
-void SimulatedCluster::return_runner(RunnerModel& runner, Span cold) {
+void SimulatedCluster::return_runner(RunnerModel& runner, Duration cold) {
   world.history(runner.name + " returns cold");
   runner.down = false;
   runner.cold_until = world.now() + cold;
@@ -440,7 +441,7 @@
 // Every 50 ms: each undisturbed live machine has, 2 s after an acknowledgement, taken that version or a later one; and
 // no machine goes back to a lower stamp while it lives.
 void SimulatedCluster::watch_rules() {
-  const Moment now = world.now();
+  const TimePoint now = world.now();
   for (auto& machine : machines) {
     if (!machine->alive() || machine->frozen()) continue;
     const auto configuration = machine->shared_state().configuration.get();
@@ -464,7 +465,7 @@
       world.history("circle " + name + " at " + machine->name + ": " + json::serialize(to_json(entry.spec)));
     }
     for (const auto& change : acknowledged) {
-      const Span since = now - std::max(change.when, machine->undisturbed_since);
+      const Duration since = now - std::max(change.when, machine->undisturbed_since);
       if (since < milliseconds(2000) || now - change.when > std::chrono::seconds(20)) continue;
       // A machine that was started or woken after the change owes it once it serves.
       if (change.when < machine->undisturbed_since && !machine->shared_state().has_lease(now)) continue;
@@ -480,8 +481,8 @@
 
 // ---- callers
 
-void SimulatedCluster::load(Span length) {
-  const Moment end = world.now() + length;
+void SimulatedCluster::load(Duration length) {
+  const TimePoint end = world.now() + length;
   for (const auto& load : shape.streams)
     pace(
         &load.rate, [this, &load](std::uint64_t number) { send_stream(load, number); }, 0, end);
@@ -491,10 +492,10 @@
 }
 
 void SimulatedCluster::pace(const double* rate, std::function<void(std::uint64_t)> send, std::uint64_t number,
-                            Moment end) {
+                            TimePoint end) {
   // A rate may change at any time: steps are short, and each sends with the random that the rate in force gives it.
   const double step = 0.005;
-  world.after(Span(static_cast<std::int64_t>(step * 1e6)), [this, rate, send, number, end, step] {
+  world.after(Duration(static_cast<std::int64_t>(step * 1e6)), [this, rate, send, number, end, step] {
     if (world.now() >= end) return;
     std::uint64_t next = number;
     for (double random = *rate * step; random > 0; random -= 1)
@@ -552,7 +553,7 @@
                                      fault = "a partial answer looks whole";
                                    if (load.pieces == 0 && whole) {
                                      auto parsed = parse_json(text);
-                                     if (fault_of(parsed) || std::get<json::value>(parsed).at("id").as_string() != id)
+                                     if (error_of(parsed) || std::get<json::value>(parsed).at("id").as_string() != id)
                                        fault = "another's answer";
                                      else
                                        run = std::string(std::get<json::value>(parsed).at("run").as_string());
@@ -576,7 +577,7 @@
   calls_[call] = Call{machine, machine->life(), [caller] {
                         caller->lost();
                       }};
-  world.at(Span(300), machine->life(), [machine, request, caller] {
+  world.at(Duration(300), machine->life(), [machine, request, caller] {
     if (machine->entries() != nullptr) machine->entries()->arrive(request, caller);
   });
 }
@@ -587,11 +588,11 @@
   bool acknowledged = false;
   std::vector<std::string> seen;
   std::int64_t handed_in = 0;
-  Moment give_up;
+  TimePoint give_up;
   std::uint32_t tries = 0;
 };
 
-void SimulatedCluster::hand_in(const LotLoad& load, std::uint64_t number, Moment end) {
+void SimulatedCluster::hand_in(const LotLoad& load, std::uint64_t number, TimePoint end) {
   auto lot = std::make_shared<LotState>();
   lot->id = load.name + "-" + std::to_string(number) + "-" + std::to_string(world.milliseconds());
   lot->load = &load;
@@ -687,7 +688,7 @@
     std::string run, fault;
     if (outcome == "answer" && value.at("status").as_int64() == 200) {
       auto parsed = parse_json(std::string(value.at("body").as_string()));
-      if (fault_of(parsed) || std::get<json::value>(parsed).at("id").as_string() != item)
+      if (error_of(parsed) || std::get<json::value>(parsed).at("id").as_string() != item)
         fault = "another's answer";
       else
         run = std::string(std::get<json::value>(parsed).at("run").as_string());
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -2,12 +2,12 @@
 #pragma once
 #include "circle/circle.hpp"
 #include "control/control.hpp"
+#include "gossip/configuration_gossip.hpp"
+#include "lots/item_placer.hpp"
 #include "lots/lots.hpp"
-#include "lots/placing.hpp"
-#include "news/news.hpp"
 #include "routes/router.hpp"
 #include "sessions/sessions.hpp"
-#include "simulate/simulated_exchange.hpp"
+#include "simulate/simulated_runner_client.hpp"
 #include "simulate/world.hpp"
 #include "stand_ins/shapes.hpp"
 
@@ -15,10 +15,10 @@
 
 class SimulatedCluster;
 
-class Machine : public Wire {
+class Machine : public Transport {
  public:
   Machine(SimulatedCluster& cluster, std::string name, std::string zone, bool disk, std::string keeps, Address address,
-          Span time_per_kilobyte = {});
+          Duration time_per_kilobyte = {});
   void send(const Address& to, Envelope envelope) override;
   void take(Envelope envelope);
   void start();
@@ -28,7 +28,7 @@
   void freeze();
   std::uint64_t incarnation() const { return incarnation_; }
   // Nothing is owed by a machine that is cut off, until it is joined again.
-  void cut_off() { undisturbed_since = Moment{INT64_MAX / 4}; }
+  void cut_off() { undisturbed_since = TimePoint{INT64_MAX / 4}; }
   void joined();
   void wake();
 
@@ -48,20 +48,20 @@
   Messenger* control_messenger() { return duties_ ? duties_->posts.at("control").get() : nullptr; }
   ReplicatedStore* kept() { return duties_ ? duties_->kept.get() : nullptr; }
   std::uint64_t frames = 0, bytes = 0, bytes_in = 0;  // sent; what was taken while the world measures
-  Span clock{};                                       // how far its wall clock is off
-  Moment undisturbed_since;                           // since when nothing was done to it
+  Duration clock{};                                   // how far its wall clock is off
+  TimePoint undisturbed_since;                        // since when nothing was done to it
 
  private:
   struct Duties {
     std::map<std::string, std::unique_ptr<Messenger>> posts;
-    std::unique_ptr<SimulatedExchange> live_exchange, lot_exchange;
+    std::unique_ptr<SimulatedRunnerClient> live_exchange, lot_exchange;
     std::unique_ptr<Sessions> sessions;
-    std::unique_ptr<News> news;
+    std::unique_ptr<ConfigurationGossip> news;
     std::unique_ptr<Founding> founding;
     std::unique_ptr<ReplicatedStore> kept;
     std::unique_ptr<CircleDuty> circle;
     std::unique_ptr<Lots> lots;
-    std::unique_ptr<Placing> placing;
+    std::unique_ptr<ItemPlacer> placing;
     std::unique_ptr<Router> entries;
     std::unique_ptr<Control> control;
     std::unique_ptr<StoreClient> client;
@@ -71,8 +71,8 @@
   void end_and_start_again();
 
   SimulatedCluster& cluster_;
-  const Span time_per_kilobyte_;
-  Moment busy_until_;
+  const Duration time_per_kilobyte_;
+  TimePoint busy_until_;
   LifePointer life_;
   std::unique_ptr<SharedState> shared_state_ = std::make_unique<SharedState>();
   std::unique_ptr<SimulatedTimers> timers_;
@@ -95,8 +95,8 @@
   Machine& any_alive();
   Machine& add_machine(const std::string& zone, const std::string& keeps = {});  // with an empty disk, at a new address
 
-  void start();            // all machines, then the configuration
-  void load(Span length);  // callers, from now on
+  void start();                // all machines, then the configuration
+  void load(Duration length);  // callers, from now on
   void control(Machine& machine, const std::string& method, const std::string& target, const std::string& body,
                std::function<void(int, const std::string&)> then, bool callers = false);
   // Applies a document, again and again until acknowledged; tells the stamp's version.
@@ -109,7 +109,7 @@
   std::size_t longest_message = 0;  // between machines
   // How far a holder's retirement is, as an operator is told by any daemon.
   void retirement(const std::string& roster, const Address& holder, std::function<void(RetirementReply)> then);
-  void return_runner(RunnerModel& runner, Span cold);
+  void return_runner(RunnerModel& runner, Duration cold);
   bool ready() const { return ready_; }
   bool first_start = false;  // of the whole fleet, while it lasts
   std::vector<Address> seeds;
@@ -118,7 +118,7 @@
   struct Acknowledged {
     std::string key;
     Stamp stamp;
-    Moment when;
+    TimePoint when;
   };
   std::vector<Acknowledged> acknowledged;
   std::vector<std::string> broken;   // rules that the cluster itself watches
@@ -135,9 +135,9 @@
     std::function<void()> lost;
   };
   struct LotState;
-  void pace(const double* rate, std::function<void(std::uint64_t)> send, std::uint64_t number, Moment end);
+  void pace(const double* rate, std::function<void(std::uint64_t)> send, std::uint64_t number, TimePoint end);
   void send_stream(const StreamLoad& load, std::uint64_t number);
-  void hand_in(const LotLoad& load, std::uint64_t number, Moment end);
+  void hand_in(const LotLoad& load, std::uint64_t number, TimePoint end);
   void submit(std::shared_ptr<LotState> lot);
   void poll(std::shared_ptr<LotState> lot);
   void cancel(std::shared_ptr<LotState> lot);
--- a/source/simulate/control_scenarios.cpp
+++ b/source/simulate/control_scenarios.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr Span watch_interval = milliseconds(20);
-constexpr Span settle_span = milliseconds(1500);   // after a start or a heal, before freshness is owed
-constexpr Span change_bound = milliseconds(2000);  // from an acknowledgement to its effect
-constexpr Span evacuation_bound = milliseconds(5000);
-constexpr Span evacuation_length = seconds(9);
-constexpr Span lapse_bound = milliseconds(500);  // the longest time without a lease
-constexpr Span order_bound = seconds(12);        // from an order's first sending to its acknowledgement
-constexpr Span cut_start = seconds(4);
-constexpr Span cut_length = seconds(12);
+constexpr Duration watch_interval = milliseconds(20);
+constexpr Duration settle_span = milliseconds(1500);   // after a start or a heal, before freshness is owed
+constexpr Duration change_bound = milliseconds(2000);  // from an acknowledgement to its effect
+constexpr Duration evacuation_bound = milliseconds(5000);
+constexpr Duration evacuation_length = seconds(9);
+constexpr Duration lapse_bound = milliseconds(500);  // the longest time without a lease
+constexpr Duration order_bound = seconds(12);        // from an order's first sending to its acknowledgement
+constexpr Duration cut_start = seconds(4);
+constexpr Duration cut_length = seconds(12);
 
 enum class Reach { control_daemons, other_zones_too, everything };
 enum class Direction { both, outgoing, incoming };
@@ -63,14 +63,14 @@
     victims_.clear();
   }
 
-  void cut_for(Span start, Span length, Reach reach, Direction direction, Machine& victim) {
+  void cut_for(Duration start, Duration length, Reach reach, Direction direction, Machine& victim) {
     auto self = shared_from_this();
     world_.after(start, [self, reach, direction, &victim] { self->cut(victim, reach, direction); });
     world_.after(start + length, [self] { self->heal(); });
   }
 
   // Changes of each kind while a cut lasts, and one as it heals.
-  void change_during(Span start, Span length) {
+  void change_during(Duration start, Duration length) {
     auto self = shared_from_this();
     order("lane/dropped", R"({"path":"/dropped","kind":"model"})");
     const std::string zone = cluster_.machines[world_.random.below(cluster_.machines.size())]->zone;
@@ -85,9 +85,9 @@
   }
 
   // The control daemon that is cut off is asked as well: it may neither confirm nor show what is old.
-  void ask_victims(Span start, Span length) {
+  void ask_victims(Duration start, Duration length) {
     auto self = shared_from_this();
-    for (Span at = start + seconds(2); at < start + length - seconds(1); at += milliseconds(700))
+    for (Duration at = start + seconds(2); at < start + length - seconds(1); at += milliseconds(700))
       world_.after(at, [self] {
         for (auto& [victim, since] : self->victims_) {
           self->show_at(*victim);
@@ -97,8 +97,8 @@
   }
 
  private:
-  Span random_part(Span length) {
-    return Span(static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(length.count()))));
+  Duration random_part(Duration length) {
+    return Duration(static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(length.count()))));
   }
 
   void report(const std::string& what) {
@@ -136,7 +136,7 @@
       if (line.at("what") != "run" || !runners.contains(std::string(line.at("runner").as_string()))) continue;
       const std::string by(line.at("by").as_string());
       const std::int64_t late = line.at("at").to_number<std::int64_t>() - acknowledged;
-      if (Span(milliseconds(late)) > evacuation_bound && !ever_cut_.contains(by))
+      if (Duration(milliseconds(late)) > evacuation_bound && !ever_cut_.contains(by))
         report(by + " sent work to an evacuated zone");
     }
   }
@@ -184,7 +184,7 @@
   }
 
   void write_at(Machine& victim) {
-    const Moment asked = world_.now();
+    const TimePoint asked = world_.now();
     const std::string key = "lane/lonely-" + std::to_string(++lonely_);
     cluster_.control(victim, "PUT", "/v1/resources/" + key + "?version=0", R"({"path":"/lonely","kind":"model"})",
                      [self = shared_from_this(), &victim, asked](int status, const std::string&) {
@@ -195,7 +195,7 @@
   }
 
   // Whether the machine was left alone for that long.
-  bool in_touch_for(const Machine& machine, Span span) const {
+  bool in_touch_for(const Machine& machine, Duration span) const {
     return machine.alive() && !machine.frozen() && world_.now() - machine.undisturbed_since > span;
   }
 
@@ -206,16 +206,17 @@
   }
 
   void check(Machine& machine) {
-    const Moment now = world_.now();
+    const TimePoint now = world_.now();
     SharedState& state = machine.shared_state();
     if (!in_touch_for(machine, settle_span)) return void(lapsed_.erase(&machine));
-    if (!state.has_lease(now) && state.may_serve(now)) report(machine.name + " serves statically though in touch");
+    if (!state.has_lease(now) && state.may_serve_requests(now))
+      report(machine.name + " serves statically though in touch");
     if (state.has_lease(now))
       lapsed_.erase(&machine);
     else if (now - lapsed_.try_emplace(&machine, now).first->second > lapse_bound)
       report(machine.name + " finds no lease though in touch");
     for (const auto& [victim, since] : victims_)
-      if (state.members.get()->home == victim->address && now - since > change_bound)
+      if (state.members.get()->session_server == victim->address && now - since > change_bound)
         report(machine.name + " keeps a home without a majority");
     for (const auto& [lane, when] : dropped_)
       if (now - std::max(when, machine.undisturbed_since) > change_bound &&
@@ -225,10 +226,10 @@
 
   SimulatedCluster& cluster_;
   World& world_;
-  std::map<Machine*, Moment> victims_;  // cut off at present, and since when
+  std::map<Machine*, TimePoint> victims_;  // cut off at present, and since when
   std::set<std::string> ever_cut_;
-  std::map<Machine*, Moment> lapsed_;
-  std::vector<std::pair<std::string, Moment>> dropped_;
+  std::map<Machine*, TimePoint> lapsed_;
+  std::vector<std::pair<std::string, TimePoint>> dropped_;
   std::set<std::string> reported_;
   int lonely_ = 0;
 };
@@ -250,7 +251,7 @@
   auto run = begin(cluster);
   Machine& first = run->pick_control_daemon();
   Machine& second = run->pick_control_daemon(&first);
-  const Span half = cut_length / 2;
+  const Duration half = cut_length / 2;
   run->cut_for(cut_start, half, Reach::other_zones_too, Direction::both, first);
   run->cut_for(cut_start + half + milliseconds(100), half, Reach::other_zones_too, Direction::both, second);
   run->change_during(cut_start, cut_length);
@@ -276,7 +277,7 @@
 
 void cut_and_heal_often(SimulatedCluster& cluster) {
   constexpr int times = 8;
-  constexpr Span turn = milliseconds(1500), length = milliseconds(900);
+  constexpr Duration turn = milliseconds(1500), length = milliseconds(900);
   auto run = begin(cluster);
   Machine& victim = run->pick_control_daemon();
   for (int number = 0; number < times; ++number)
@@ -297,7 +298,7 @@
 }  // namespace
 
 std::vector<Scenario> control_scenarios() {
-  const Span load = seconds(24), settle = seconds(35);
+  const Duration load = seconds(24), settle = seconds(35);
   // What a machine that is cut off has learned of its items is listed when the cut is over.
   const Limits limits{std::chrono::duration_cast<milliseconds>(cut_length).count() + 2000, 80};
   std::vector<Scenario> list;
--- a/source/simulate/faults.cpp
+++ b/source/simulate/faults.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void restart_later(SimulatedCluster& cluster, Machine& machine, Span pause) {
+void restart_later(SimulatedCluster& cluster, Machine& machine, Duration pause) {
   cluster.world.after(pause, [&machine] {
     if (!machine.alive()) machine.start();
   });
@@ -45,7 +45,7 @@
                                       {"generation", runner.life}});
 }
 
-void cut_zone(SimulatedCluster& cluster, const std::string& zone, Span length, bool both) {
+void cut_zone(SimulatedCluster& cluster, const std::string& zone, Duration length, bool both) {
   cluster.world.history("zone " + zone + " is cut off" + (both ? "" : " one way"));
   std::set<std::string> zones;
   for (auto& machine : cluster.machines) zones.insert(machine->zone);
@@ -63,7 +63,7 @@
   });
 }
 
-void kill_and_restart(SimulatedCluster& cluster, Machine& machine, bool wipe, Span pause) {
+void kill_and_restart(SimulatedCluster& cluster, Machine& machine, bool wipe, Duration pause) {
   machine.kill(wipe);
   restart_later(cluster, machine, pause);
 }
@@ -75,7 +75,7 @@
       [&cluster, key, wipe](Stamp) { kill_and_restart(cluster, owner_of(cluster, key), wipe); });
 }
 
-void every(SimulatedCluster& cluster, Span gap, int times, std::function<void(int)> act) {
+void every(SimulatedCluster& cluster, Duration gap, int times, std::function<void(int)> act) {
   for (int turn = 0; turn < times; ++turn) cluster.world.after(gap * (turn + 1), [act, turn] { act(turn); });
 }
 
@@ -116,7 +116,7 @@
   cluster.lost_totally = true;
   Machine* odd = one_away || one_empty ? &pick(cluster, true) : nullptr;
   for (auto& machine : cluster.machines) machine->kill(one_empty && machine.get() == odd);
-  const Moment down = cluster.world.now();
+  const TimePoint down = cluster.world.now();
   for (auto& machine : cluster.machines)
     if (!one_away || machine.get() != odd)
       restart_later(cluster, *machine, milliseconds(200 + static_cast<std::int64_t>(cluster.world.random.below(500))));
@@ -145,7 +145,7 @@
   cluster.world.after(milliseconds(50), [watch] { (*watch)(); });
 }
 
-void crowd(SimulatedCluster& cluster, double factor, Span length) {
+void crowd(SimulatedCluster& cluster, double factor, Duration length) {
   cluster.world.history("a crowd arrives");
   for (auto& load : cluster.shape.streams) load.rate *= factor;
   cluster.world.after(length, [&cluster, factor] {
@@ -154,7 +154,7 @@
   });
 }
 
-void crash_and_return(SimulatedCluster& cluster, RunnerModel& runner, Span pause) {
+void crash_and_return(SimulatedCluster& cluster, RunnerModel& runner, Duration pause) {
   cluster.crash_runner(runner);
   cluster.world.after(pause, [&cluster, &runner] { cluster.return_runner(runner, seconds(2)); });
 }
@@ -181,7 +181,7 @@
     cluster.world.after(milliseconds(700), back);
 }
 
-void misbehave(SimulatedCluster& cluster, RunnerModel& runner, const std::string& mode, Span length) {
+void misbehave(SimulatedCluster& cluster, RunnerModel& runner, const std::string& mode, Duration length) {
   cluster.world.history(runner.name + " turns " + mode);
   runner.mode = mode;
   cluster.world.after(length, [&cluster, &runner] {
@@ -190,7 +190,7 @@
   });
 }
 
-void freeze(SimulatedCluster& cluster, Machine& machine, Span length) {
+void freeze(SimulatedCluster& cluster, Machine& machine, Duration length) {
   machine.freeze();
   cluster.world.after(length, [&machine] { machine.wake(); });
 }
--- a/source/simulate/history_scenarios.cpp
+++ b/source/simulate/history_scenarios.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr int routes = 120, changes = 500;
-constexpr Span catch_up_bound = milliseconds(2000);  // after a holder is in touch again
-constexpr Span start_bound = milliseconds(6000);     // for a start until it serves
-constexpr int writers = 4;                           // operators that change routes at the same time
+constexpr Duration catch_up_bound = milliseconds(2000);  // after a holder is in touch again
+constexpr Duration start_bound = milliseconds(6000);     // for a start until it serves
+constexpr int writers = 4;                               // operators that change routes at the same time
 
 // Makes the changes, each operator the next one once its last is acknowledged, and remembers the newest of each key.
 class ChangeHistory : public std::enable_shared_from_this<ChangeHistory> {
@@ -29,7 +29,7 @@
   // The machine must have, within the bound, every change that was acknowledged before now.
   void expect_caught_up(Machine& machine) {
     const std::int64_t began = cluster_.world.milliseconds();
-    wait_for(machine, newest_, cluster_.world.now() + start_bound, Moment{}, began);
+    wait_for(machine, newest_, cluster_.world.now() + start_bound, TimePoint{}, began);
   }
 
   // What the owners answer must be no older than what was acknowledged.
@@ -65,22 +65,22 @@
     });
   }
 
-  void wait_for(Machine& machine, std::map<std::string, Stamp> wanted, Moment until, Moment in_touch,
+  void wait_for(Machine& machine, std::map<std::string, Stamp> wanted, TimePoint until, TimePoint in_touch,
                 std::int64_t began) {
     World& world = cluster_.world;
     if (!machine.alive()) return;  // a closing fault
-    if (in_touch == Moment{} && machine.shared_state().has_lease(world.now())) {
+    if (in_touch == TimePoint{} && machine.shared_state().has_lease(world.now())) {
       in_touch = world.now();
       until = in_touch + catch_up_bound;
     }
-    if (in_touch != Moment{} && has_all(machine, wanted))
+    if (in_touch != TimePoint{} && has_all(machine, wanted))
       return world.write({{"what", "observed"},
                           {"name", "a holder has caught up"},
                           {"took", world.milliseconds() - began},
                           {"limit", (start_bound + catch_up_bound).count() / 1000}});
     if (world.now() >= until)
       return cluster_.broken.push_back(machine.name +
-                                       (in_touch == Moment{} ? " does not serve" : " has not caught up") + " " +
+                                       (in_touch == TimePoint{} ? " does not serve" : " has not caught up") + " " +
                                        std::to_string(world.milliseconds() - began) + " ms after its return");
     world.after(milliseconds(20), [self = shared_from_this(), &machine, wanted = std::move(wanted), until, in_touch,
                                    began] { self->wait_for(machine, wanted, until, in_touch, began); });
--- a/source/simulate/loss_scenarios.cpp
+++ b/source/simulate/loss_scenarios.cpp
@@ -12,11 +12,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Span read_back_limit = seconds(12);
+constexpr Duration read_back_limit = seconds(12);
 
 // What the platform may do: how long a machine counts as lost after its return, and how many may be lost at once.
 struct Tolerance {
-  Span synchronization_time = milliseconds(4900);
+  Duration synchronization_time = milliseconds(4900);
   std::size_t machines = 1;
   bool repaired_in_time = true;  // whether the group is to be whole before the next loss
 };
@@ -26,12 +26,12 @@
   Losses(SimulatedCluster& given, Tolerance given_tolerance) : cluster(given), tolerance(given_tolerance) {
     const bool two_groups = cluster.shape.told_first_start;
     keeps = !two_groups ? "" : tolerance.machines == 1 && cluster.world.random.below(3) == 0 ? "control" : "lots";
-    for (Machine* holder : cluster.holders()) disk_since[holder] = Moment{};
+    for (Machine* holder : cluster.holders()) disk_since[holder] = TimePoint{};
   }
   SimulatedCluster& cluster;
   const Tolerance tolerance;
   std::string keeps;
-  std::map<Machine*, Moment> disk_since;
+  std::map<Machine*, TimePoint> disk_since;
   std::set<Machine*> gone;  // for good
 };
 using LossesPointer = std::shared_ptr<Losses>;
@@ -65,18 +65,18 @@
   return list;
 }
 
-Span between(World& world, Span least, Span most) {
+Duration between(World& world, Duration least, Duration most) {
   return least +
-         Span(static_cast<std::int64_t>(world.random.below(static_cast<std::uint64_t>((most - least).count()))));
+         Duration(static_cast<std::int64_t>(world.random.below(static_cast<std::uint64_t>((most - least).count()))));
 }
 
-void start_later(Machine& machine, World& world, Span pause) {
+void start_later(Machine& machine, World& world, Duration pause) {
   world.after(pause, [&machine] {
     if (!machine.alive()) machine.start();
   });
 }
 
-void wipe(const LossesPointer& losses, Machine& machine, Span down) {
+void wipe(const LossesPointer& losses, Machine& machine, Duration down) {
   machine.kill(true);
   losses->disk_since[&machine] = losses->cluster.world.now() + down;
   start_later(machine, losses->cluster.world, down);
@@ -95,9 +95,9 @@
 }
 
 // The oldest machine goes for good; an empty one comes at another address, before it or after.
-Span replace_oldest(const LossesPointer& losses, bool planned) {
+Duration replace_oldest(const LossesPointer& losses, bool planned) {
   World& world = losses->cluster.world;
-  const Span gap = between(world, milliseconds(500), milliseconds(2500));
+  const Duration gap = between(world, milliseconds(500), milliseconds(2500));
   Machine& machine = oldest_disk(*losses);
   if (planned) {
     add_empty(losses, machine.zone);
@@ -129,20 +129,21 @@
   (*ask)();
 }
 
-void lose_zone(const LossesPointer& losses, const std::string& zone, Span down) {
+void lose_zone(const LossesPointer& losses, const std::string& zone, Duration down) {
   losses->cluster.world.history("zone " + zone + " loses its power");
   for (auto& machine : losses->cluster.machines)
     if (machine->zone == zone && machine->alive()) {
       machine->kill(false);
-      start_later(*machine, losses->cluster.world, down + between(losses->cluster.world, Span{}, milliseconds(1500)));
+      start_later(*machine, losses->cluster.world,
+                  down + between(losses->cluster.world, Duration{}, milliseconds(1500)));
     }
 }
 
 // ---- what is acknowledged meanwhile, and read back
 
-void change_configuration(const LossesPointer& losses, Span length) {
+void change_configuration(const LossesPointer& losses, Duration length) {
   World& world = losses->cluster.world;
-  for (Span at{}; at < length; at += milliseconds(150))
+  for (Duration at{}; at < length; at += milliseconds(150))
     world.after(at, [losses, number = at.count() / 150000] {
       losses->cluster.operator_change("lane/loss-" + std::to_string(number % 40),
                                       R"({"path":"/loss-)" + std::to_string(number % 40) +
@@ -150,7 +151,7 @@
     });
 }
 
-void read_lot(SimulatedCluster& cluster, const std::string& id, Moment until) {
+void read_lot(SimulatedCluster& cluster, const std::string& id, TimePoint until) {
   cluster.control(
       cluster.any_alive(), "GET", "/lots/" + id + "/results?after=0&limit=1", "",
       [&cluster, id, until](int status, const std::string& text) {
@@ -163,7 +164,7 @@
       true);
 }
 
-void read_resource(SimulatedCluster& cluster, const std::string& key, Stamp least, Moment until) {
+void read_resource(SimulatedCluster& cluster, const std::string& key, Stamp least, TimePoint until) {
   cluster.control(
       cluster.any_alive(), "GET", "/v1/resources/" + key, "",
       [&cluster, key, least, until](int status, const std::string& text) {
@@ -181,7 +182,7 @@
 }
 
 void read_back(SimulatedCluster& cluster) {
-  const Moment until = cluster.world.now() + read_back_limit;
+  const TimePoint until = cluster.world.now() + read_back_limit;
   std::set<std::string> lots;
   for (const auto& line : cluster.world.ledger())
     if (line.at("what").as_string() == "lot") lots.emplace(line.at("id").as_string());
@@ -198,11 +199,11 @@
   SimulatedCluster& cluster = losses->cluster;
   cluster.world.history("the closing fault");
   const std::vector<Machine*> wiped = oldest_disks(*losses);
-  const Span down = between(cluster.world, milliseconds(500), milliseconds(1500));
+  const Duration down = between(cluster.world, milliseconds(500), milliseconds(1500));
   for (auto& machine : cluster.machines) {
     if (!machine->alive()) continue;
     machine->kill(std::find(wiped.begin(), wiped.end(), machine.get()) != wiped.end());
-    start_later(*machine, cluster.world, down + between(cluster.world, Span{}, milliseconds(300)));
+    start_later(*machine, cluster.world, down + between(cluster.world, Duration{}, milliseconds(300)));
   }
   cluster.world.after(down + seconds(8), [&cluster] { read_back(cluster); });
 }
@@ -219,7 +220,7 @@
 
 bool restored(const Losses& losses, Restored wanted) {
   const Roster* roster = nullptr;
-  std::map<HolderId, ReplicatedStore*> stores;
+  std::map<StorageNodeId, ReplicatedStore*> stores;
   for (Machine* holder : group(losses)) {
     if (!holder->alive() || holder->kept() == nullptr) continue;
     stores[holder->kept()->identity()] = holder->kept();
@@ -240,7 +241,7 @@
   return true;
 }
 
-void measure(const LossesPointer& losses, Moment since, Restored wanted, Span limit) {
+void measure(const LossesPointer& losses, TimePoint since, Restored wanted, Duration limit) {
   World& world = losses->cluster.world;
   world.after(milliseconds(50), [losses, since, wanted, limit, &world] {
     const std::int64_t took = (world.now() - since).count() / 1000;
@@ -254,27 +255,27 @@
 
 // All seats are to be filled before the platform may strike again. Where several may be lost at once they are to stand
 // well before that.
-void measure_repair(const LossesPointer& losses, Moment since) {
-  const Span limit = losses->tolerance.synchronization_time;
+void measure_repair(const LossesPointer& losses, TimePoint since) {
+  const Duration limit = losses->tolerance.synchronization_time;
   if (losses->tolerance.machines > 1) measure(losses, since, Restored::seated, limit / 2);
   measure(losses, since, Restored::whole, limit);
 }
 
 // The strikes one after another, each as soon as the one before no longer counts; then the closing fault.
-using Strikes = std::vector<std::function<Span(const LossesPointer&)>>;  // each tells when its machine is back
+using Strikes = std::vector<std::function<Duration(const LossesPointer&)>>;  // each tells when its machine is back
 
 void strike_in_turn(const LossesPointer& losses, std::shared_ptr<Strikes> strikes, std::size_t index) {
   World& world = losses->cluster.world;
   if (index == strikes->size()) return close_with_wipe(losses);
-  const Span back = (*strikes)[index](losses);
-  const Moment returned = world.now() + back;
+  const Duration back = (*strikes)[index](losses);
+  const TimePoint returned = world.now() + back;
   if (losses->tolerance.repaired_in_time) world.after(back, [losses, returned] { measure_repair(losses, returned); });
   world.after(back + losses->tolerance.synchronization_time,
               [losses, strikes, index] { strike_in_turn(losses, strikes, index + 1); });
 }
 
 // The strikes begin within a second after `first`; until shortly before the load's end the configuration changes.
-Scenario strikes_in_turn(std::string name, std::string about, Tolerance tolerance, Span load, Span first,
+Scenario strikes_in_turn(std::string name, std::string about, Tolerance tolerance, Duration load, Duration first,
                          Strikes strikes, std::function<void(SimulatedCluster&)> hand_in_lots) {
   Scenario made;
   made.name = std::move(name);
@@ -288,7 +289,7 @@
     auto losses = std::make_shared<Losses>(cluster, tolerance);
     hand_in_lots(cluster);
     change_configuration(losses, load - seconds(2));
-    cluster.world.after(first + between(cluster.world, Span{}, seconds(1)),
+    cluster.world.after(first + between(cluster.world, Duration{}, seconds(1)),
                         [losses, list] { strike_in_turn(losses, list, 0); });
   };
   return made;
@@ -299,18 +300,18 @@
                          [](SimulatedCluster& cluster) { cluster.shape.lots[0].rate = 6; });
 }
 
-Span wipe_oldest(const LossesPointer& losses) {
-  const Span down = between(losses->cluster.world, milliseconds(500), milliseconds(2000));
+Duration wipe_oldest(const LossesPointer& losses) {
+  const Duration down = between(losses->cluster.world, milliseconds(500), milliseconds(2000));
   wipe(losses, oldest_disk(*losses), down);
   return down;
 }
 
-Span lose_and_return_zone(const LossesPointer& losses) {
+Duration lose_and_return_zone(const LossesPointer& losses) {
   lose_zone(losses, oldest_disk(*losses).zone, seconds(3));
   return milliseconds(4500);
 }
 
-Span retire_oldest(const LossesPointer& losses) {
+Duration retire_oldest(const LossesPointer& losses) {
   Machine& machine = oldest_disk(*losses);
   add_empty(losses, machine.zone);
   losses->cluster.world.after(losses->tolerance.synchronization_time,
@@ -318,8 +319,8 @@
   return seconds(12);
 }
 
-Span wipe_two_oldest(const LossesPointer& losses) {
-  const Span down = between(losses->cluster.world, milliseconds(500), milliseconds(2000));
+Duration wipe_two_oldest(const LossesPointer& losses) {
+  const Duration down = between(losses->cluster.world, milliseconds(500), milliseconds(2000));
   for (Machine* machine : oldest_disks(*losses)) wipe(losses, *machine, down);
   return down;
 }
--- a/source/simulate/main.cpp
+++ b/source/simulate/main.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr View shapes[] = {"small", "altiplano", "sestavna", "platform", "farm", "storage", "grown"};
+constexpr StringView shapes[] = {"small", "altiplano", "sestavna", "platform", "farm", "storage", "grown"};
 
 std::optional<std::uint64_t> number(const char* text) {
-  const View view(text);
-  if (view.empty() || view.size() > 9 || view.find_first_not_of("0123456789") != View::npos) return std::nullopt;
+  const StringView view(text);
+  if (view.empty() || view.size() > 9 || view.find_first_not_of("0123456789") != StringView::npos) return std::nullopt;
   return std::stoull(std::string(view));
 }
 
--- a/source/simulate/scenario_run.cpp
+++ b/source/simulate/scenario_run.cpp
@@ -41,7 +41,7 @@
 void start_until_ready(SimulatedCluster& cluster) {
   World& world = cluster.world;
   cluster.start();
-  while (!cluster.ready() && world.now() < Moment{} + seconds(40)) world.run_until(world.now() + milliseconds(100));
+  while (!cluster.ready() && world.now() < TimePoint{} + seconds(40)) world.run_until(world.now() + milliseconds(100));
   if (!cluster.ready()) cluster.broken.push_back("the configuration was not taken within 40 s of the first start");
   // The circle's ramp is over before the load begins: cold starts have scenarios of their own.
   world.run_until(world.now() + seconds(5));
--- a/source/simulate/scenarios.cpp
+++ b/source/simulate/scenarios.cpp
@@ -18,7 +18,7 @@
 std::vector<Scenario> make() {
   std::vector<Scenario> list;
   auto add = [&](std::string name, std::string about, std::function<void(SimulatedCluster&)> faults,
-                 Span load = seconds(20), Span settle = seconds(35)) {
+                 Duration load = seconds(20), Duration settle = seconds(35)) {
     list.push_back(Scenario{std::move(name), std::move(about), std::move(faults), load, settle});
   };
   add("quiet", "load alone", [](SimulatedCluster&) {});
@@ -343,7 +343,7 @@
       [](SimulatedCluster& cluster) {
         cluster.world.after(seconds(4), [&cluster] {
           Machine& machine = pick(cluster, true);
-          const HolderId identity = machine.kept()->identity();
+          const StorageNodeId identity = machine.kept()->identity();
           machine.kill(false);
           machine.disk().unreadable = 2;
           for (int turn = 1; turn <= 3; ++turn) restart_later(cluster, machine, seconds(turn));
--- a/source/simulate/scenarios.hpp
+++ b/source/simulate/scenarios.hpp
@@ -21,7 +21,7 @@
 struct Scenario {
   std::string name, about;
   std::function<void(SimulatedCluster&)> faults;  // called when the load begins
-  Span load = std::chrono::seconds(20), settle = std::chrono::seconds(35);
+  Duration load = std::chrono::seconds(20), settle = std::chrono::seconds(35);
   Limits limits{1000, 0};   // what the judge allows a run
   bool closes = false;      // it ends with a closing fault of its own, and another one would be more than may be lost
   std::string shape = {};   // the only one that it is for; empty: any
--- a/source/simulate/service_scenarios.cpp
+++ b/source/simulate/service_scenarios.cpp
@@ -14,12 +14,12 @@
 namespace {
 
 const std::string small_kind = "notice", small_load = "notices", model_kind = "model";
-constexpr Span quiet_load = seconds(12), failing_load = seconds(14), settle = seconds(3);
-constexpr Span failures_begin = seconds(2), failures_last = seconds(8);
+constexpr Duration quiet_load = seconds(12), failing_load = seconds(14), settle = seconds(3);
+constexpr Duration failures_begin = seconds(2), failures_last = seconds(8);
 constexpr double failing_share = 0.03;  // of the answers that the small service's runners break off
 constexpr double least_quiet_share = 0.95, least_failing_share = 0.85;
 constexpr double least_model_share = 0.9;
-constexpr Span model_start = seconds(3);                  // that the circle of model runners may take to grow
+constexpr Duration model_start = seconds(3);              // that the circle of model runners may take to grow
 constexpr std::int64_t small_aim = 200, model_aim = 500;  // milliseconds, as the shape's lanes have them
 
 std::string percent(double share) {
@@ -103,7 +103,7 @@
     for (const auto& [name, ramps] : circle(small_kind).ramps) counts.ramps += ramps;
     for (const auto& machine : cluster_.machines) {
       if (machine->entries() == nullptr) continue;
-      const EntryCounts& entries = machine->entries()->counts();
+      const RouterCounts& entries = machine->entries()->counts();
       for (const auto& [what, waits] : entries.waits) {
         if (!what.starts_with(small_kind + " ")) continue;
         Waits& sum = counts.waits[what.substr(small_kind.size() + 1)];
@@ -129,7 +129,7 @@
   }
 
   // Of the loads' requests that were sent from a moment on: how many were answered within the aim, by the given time.
-  InTime in_time(const std::set<std::string>& loads, std::int64_t from, std::int64_t aim, View time) const {
+  InTime in_time(const std::set<std::string>& loads, std::int64_t from, std::int64_t aim, StringView time) const {
     InTime result;
     for (const auto& line : cluster_.world.ledger()) {
       if (line.at("what").as_string() != "request" || !loads.contains(std::string(line.at("load").as_string())) ||
@@ -174,7 +174,7 @@
   bool concluded_ = false;
 };
 
-void watch_service(SimulatedCluster& cluster, Span load, double least_share, bool resets_allowed) {
+void watch_service(SimulatedCluster& cluster, Duration load, double least_share, bool resets_allowed) {
   auto watch = std::make_shared<ServiceWatch>(cluster);
   watch->begin();
   cluster.world.after(load + settle - milliseconds(1),
@@ -208,7 +208,7 @@
   // The shares of requests in time, which refused ones are not, are the stricter measure.
   const Limits limits{INT64_MAX, 1000};
   std::vector<Scenario> list;
-  auto add = [&](std::string name, std::string about, std::function<void(SimulatedCluster&)> faults, Span load) {
+  auto add = [&](std::string name, std::string about, std::function<void(SimulatedCluster&)> faults, Duration load) {
     Scenario scenario{std::move(name), std::move(about), std::move(faults), load, settle, limits};
     scenario.shape = "grown";
     list.push_back(std::move(scenario));
--- a/source/simulate/simulated_connections.cpp
+++ b/source/simulate/simulated_connections.cpp
@@ -8,10 +8,10 @@
 namespace {
 // How long a daemon uses an idle connection again for any work; and for work that may be repeated, which goes again
 // where the runner was closing it. After that the daemon closes it.
-Span sure_idle(const RunnerConnections& runner) {
+Duration sure_idle(const RunnerConnections& runner) {
   return runner.idle() / 2;
 }
-Span longest_idle(const RunnerConnections& runner) {
+Duration longest_idle(const RunnerConnections& runner) {
   return runner.idle() * 3 / 4;
 }
 }  // namespace
@@ -45,7 +45,7 @@
   auto found = pools_.find(key);
   while (found != pools_.end() && !found->second.idle.empty()) {
     const SimulatedConnectionPointer connection = found->second.idle.back();
-    const Span age = world_.now() - connection->used;
+    const Duration age = world_.now() - connection->used;
     const bool usable = age < longest_idle(*connection->runner);
     if (usable && age > sure_idle(*connection->runner) && !repeatable) return nullptr;
     if (usable && connection->runner_life == connection->runner->life()) {
@@ -61,7 +61,7 @@
 }
 
 SimulatedConnectionPointer SimulatedConnectionPool::open(const std::string& key, RunnerConnections& runner,
-                                                         Span closing, std::uint32_t bound) {
+                                                         Duration closing, std::uint32_t bound) {
   auto connection = std::make_shared<SimulatedConnection>();
   connection->key = key;
   connection->runner = &runner;
--- a/source/simulate/simulated_connections.hpp
+++ b/source/simulate/simulated_connections.hpp
@@ -1,5 +1,5 @@
 // Connections between daemons and runners: how many a runner takes from all callers together, and which idle ones a
-// daemon uses again. The rules of the daemon's side are those of host/beast_exchange.cpp.
+// daemon uses again. The rules of the daemon's side are those of host/beast_runner_client.cpp.
 #pragma once
 #include "simulate/world.hpp"
 
@@ -8,12 +8,12 @@
 // The connections at one runner. One that comes over the limit is reset as soon as it is opened. Idle ones count.
 class RunnerConnections {
  public:
-  static constexpr Span unstated_idle = std::chrono::milliseconds(800);
+  static constexpr Duration unstated_idle = std::chrono::milliseconds(800);
   // `idle`: how long it says that it keeps idle ones; the daemon takes the default where it says nothing.
-  explicit RunnerConnections(std::uint32_t limit = 0, Span idle = unstated_idle) : limit_(limit), idle_(idle) {}
+  explicit RunnerConnections(std::uint32_t limit = 0, Duration idle = unstated_idle) : limit_(limit), idle_(idle) {}
   bool limited() const { return limit_ > 0; }
   std::uint32_t limit() const { return limit_; }
-  Span idle() const { return idle_; }
+  Duration idle() const { return idle_; }
   // A connection is opened; false: it is reset.
   bool accept();
   // One that was accepted in the given life of the runner ends.
@@ -27,7 +27,7 @@
 
  private:
   std::uint32_t limit_;  // 0: no bound
-  Span idle_;
+  Duration idle_;
   std::uint32_t open_ = 0, most_open_ = 0;
   std::uint64_t resets_ = 0, life_ = 1;
 };
@@ -36,10 +36,10 @@
 struct SimulatedConnection {
   std::string key;  // the runner's address and name
   RunnerConnections* runner = nullptr;
-  Span closing{};                 // until the runner sees that it is closed
+  Duration closing{};             // until the runner sees that it is closed
   std::uint64_t runner_life = 0;  // in which it was accepted; 0: not yet
   bool idle = false, closed = false;
-  Moment used;  // when it became idle
+  TimePoint used;  // when it became idle
 };
 using SimulatedConnectionPointer = std::shared_ptr<SimulatedConnection>;
 
@@ -51,7 +51,8 @@
   // The idle connection used last, if it is good enough for this work; null: a fresh one is needed.
   SimulatedConnectionPointer take_idle(const std::string& key, bool repeatable);
   // Begins a connection. Where more than `bound` would stand then (0: no bound), the oldest idle one is closed.
-  SimulatedConnectionPointer open(const std::string& key, RunnerConnections& runner, Span closing, std::uint32_t bound);
+  SimulatedConnectionPointer open(const std::string& key, RunnerConnections& runner, Duration closing,
+                                  std::uint32_t bound);
   // It has come to the runner; false: the runner resets it, and it is closed.
   bool arrive(const SimulatedConnectionPointer& connection);
   // Its answer was whole: it is idle, and closed when it stays so.
--- a/source/simulate/simulated_exchange.cpp
+++ b/source/simulate/simulated_runner_client.cpp
@@ -1,5 +1,5 @@
 // The way of an attempt: its connection, the runner's queue and slots, and the answer piece by piece.
-#include "simulate/simulated_exchange.hpp"
+#include "simulate/simulated_runner_client.hpp"
 
 #include <algorithm>
 
@@ -15,14 +15,15 @@
 }
 }  // namespace
 
-SimulatedExchange::SimulatedExchange(SimulatedCluster& cluster, std::string place, std::string zone, LifePointer life)
+SimulatedRunnerClient::SimulatedRunnerClient(SimulatedCluster& cluster, std::string place, std::string zone,
+                                             LifePointer life)
     : cluster_(cluster),
       place_(std::move(place)),
       zone_(std::move(zone)),
       life_(std::move(life)),
       connections_(cluster.world, life_) {}
 
-Exchange::Id SimulatedExchange::start(const AttemptRequest& request, std::shared_ptr<AttemptWatcher> watcher) {
+RunnerClient::Id SimulatedRunnerClient::start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> watcher) {
   const Id id = ++last_;
   auto attempt = std::make_shared<Attempt>();
   attempt->request = request;
@@ -40,19 +41,19 @@
   return id;
 }
 
-void SimulatedExchange::dispatch(Id id, const AttemptPointer& attempt) {
+void SimulatedRunnerClient::dispatch(Id id, const AttemptPointer& attempt) {
   World& world = cluster_.world;
   const AttemptRequest& request = attempt->request;
   const bool reachable =
       attempt->runner != nullptr && !world.is_cut(place_, zone_, attempt->runner->name, attempt->runner->zone);
   if (!reachable) {
-    world.at(request.connecting, life_, [this, id, attempt] { finish(id, attempt, AttemptEnd::not_sent); });
+    world.at(request.connecting, life_, [this, id, attempt] { finish(id, attempt, AttemptOutcome::not_sent); });
     return;
   }
   RunnerModel& runner = *attempt->runner;
-  const Span way = world.delay(zone_, runner.zone);
+  const Duration way = world.delay(zone_, runner.zone);
   if (runner.down) {
-    world.at(way * 2, life_, [this, id, attempt] { finish(id, attempt, AttemptEnd::not_sent); });
+    world.at(way * 2, life_, [this, id, attempt] { finish(id, attempt, AttemptOutcome::not_sent); });
     return;
   }
   attempt->runner_life = runner.life;
@@ -69,18 +70,18 @@
   world.at(way, life_, [this, id, attempt, way] { connected(id, attempt, way); });
 }
 
-void SimulatedExchange::connected(Id id, const AttemptPointer& attempt, Span way) {
+void SimulatedRunnerClient::connected(Id id, const AttemptPointer& attempt, Duration way) {
   if (!attempts_.contains(id)) return;
   if (cluster_.world.now() - attempt->decided > attempt->request.connecting)
-    return finish(id, attempt, AttemptEnd::not_sent);
+    return finish(id, attempt, AttemptOutcome::not_sent);
   // The request may have been written before the reset came.
   if (attempt->connection && !connections_.arrive(attempt->connection))
-    return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptEnd::broken); });
+    return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptOutcome::broken); });
   transmit(id, attempt, way);
 }
 
 // The request leaves when the connection stands; once it is on its way it arrives even if the daemon dies meanwhile.
-void SimulatedExchange::transmit(Id id, const AttemptPointer& attempt, Span way) {
+void SimulatedRunnerClient::transmit(Id id, const AttemptPointer& attempt, Duration way) {
   cluster_.world.after(way, [this, id, attempt, life = life_, &cluster = cluster_] {
     if (life->alive) return arrive(id, attempt, life);
     // Its daemon is dead, and the runner runs it for nobody.
@@ -93,10 +94,10 @@
 
 // The runner is gone. Where the connection was kept since an earlier request and no byte of an answer came, repeatable
 // work goes again over a fresh one, while the decision to send it is fresh.
-void SimulatedExchange::connection_lost(Id id, const AttemptPointer& attempt) {
+void SimulatedRunnerClient::connection_lost(Id id, const AttemptPointer& attempt) {
   const bool fresh = cluster_.world.now() - attempt->decided <= attempt->request.connecting;
   if (!attempt->over_kept_connection || !attempt->request.repeatable || attempt->headed || !fresh)
-    return finish(id, attempt, AttemptEnd::broken);
+    return finish(id, attempt, AttemptOutcome::broken);
   connections_.close(attempt->connection);
   connections_.close_idle(attempt->connection->key);
   ++attempt->beat;  // its budgets are over
@@ -113,23 +114,23 @@
   dispatch(id, again);
 }
 
-void SimulatedExchange::guard(Id id, const AttemptPointer& attempt, Span budget) {
+void SimulatedRunnerClient::guard(Id id, const AttemptPointer& attempt, Duration budget) {
   const std::uint64_t beat = ++attempt->beat;
   cluster_.world.at(budget, life_, [this, id, attempt, beat] {
     if (attempt->beat == beat && attempts_.contains(id)) {
       free(cluster_, attempt, "abandoned");
-      finish(id, attempt, AttemptEnd::late);
+      finish(id, attempt, AttemptOutcome::late);
     }
   });
 }
 
-void SimulatedExchange::arrive(Id id, const AttemptPointer& attempt, const LifePointer& life) {
+void SimulatedRunnerClient::arrive(Id id, const AttemptPointer& attempt, const LifePointer& life) {
   RunnerModel& runner = *attempt->runner;
   if (runner.life != attempt->runner_life || runner.down)
     return give(id, attempt, [this, id, attempt] { connection_lost(id, attempt); });
   if (runner.mode == "dark") return;
   if (runner.mode == "nonsense")
-    return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptEnd::broken); });
+    return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptOutcome::broken); });
   const std::uint32_t offered = runner.active + static_cast<std::uint32_t>(runner.waiting.size()) + 1;
   auto note = [&](std::uint32_t& most, std::string& worst) {
     if (offered <= most) return;
@@ -143,7 +144,7 @@
   if (runner.waiting.size() >= runner.slots)
     return give(id, attempt, [this, id, attempt] {
       attempt->watcher->on_head(429, {});
-      if (attempts_.contains(id)) finish(id, attempt, AttemptEnd::whole);
+      if (attempts_.contains(id)) finish(id, attempt, AttemptOutcome::whole);
     });
   runner.waiting.push_back([this, id, attempt, life] {
     if (!life->alive || !attempts_.contains(id)) return;
@@ -151,7 +152,7 @@
   });
 }
 
-void SimulatedExchange::enter(SimulatedCluster& cluster, const AttemptPointer& attempt) {
+void SimulatedRunnerClient::enter(SimulatedCluster& cluster, const AttemptPointer& attempt) {
   RunnerModel& runner = *attempt->runner;
   attempt->began = true;
   ++runner.active;
@@ -163,7 +164,7 @@
       {{"what", "run"}, {"id", attempt->id}, {"run", attempt->run}, {"runner", runner.name}, {"by", attempt->by}});
 }
 
-void SimulatedExchange::begin(Id id, const AttemptPointer& attempt) {
+void SimulatedRunnerClient::begin(Id id, const AttemptPointer& attempt) {
   RunnerModel& runner = *attempt->runner;
   World& world = cluster_.world;
   enter(cluster_, attempt);
@@ -173,7 +174,7 @@
   const std::string& body = *attempt->request.body;
   double fresh = static_cast<double>(body.size());
   if (body.size() >= 512) {
-    const std::uint64_t prefix = hash_of(View(body).substr(0, 512));
+    const std::uint64_t prefix = hash_of(StringView(body).substr(0, 512));
     auto found = std::find(runner.prefixes.begin(), runner.prefixes.end(), prefix);
     const bool hit = found != runner.prefixes.end();
     if (hit) {
@@ -185,7 +186,7 @@
     if (runner.prefixes.size() > 3) runner.prefixes.pop_back();
   }
   const double factor = (runner.mode == "slow" ? 6.0 : 1.0) * (world.now() < runner.cold_until ? 2.0 : 1.0);
-  world.after(Span(static_cast<std::int64_t>((1.0 + fresh / 1024.0 * 2.0) * factor * 1000)),
+  world.after(Duration(static_cast<std::int64_t>((1.0 + fresh / 1024.0 * 2.0) * factor * 1000)),
               [this, id, attempt, life = life_, &cluster = cluster_] {
                 if (life->alive)
                   step(id, attempt);
@@ -194,7 +195,7 @@
               });
 }
 
-void SimulatedExchange::free(SimulatedCluster& cluster, const AttemptPointer& attempt, const std::string& how) {
+void SimulatedRunnerClient::free(SimulatedCluster& cluster, const AttemptPointer& attempt, const std::string& how) {
   if (!attempt->began || attempt->ended) return;
   attempt->ended = true;
   RunnerModel& runner = *attempt->runner;
@@ -210,12 +211,12 @@
   }
 }
 
-void SimulatedExchange::step(Id id, const AttemptPointer& attempt) {
+void SimulatedRunnerClient::step(Id id, const AttemptPointer& attempt) {
   RunnerModel& runner = *attempt->runner;
   World& world = cluster_.world;
   if (attempt->ended || runner.life != attempt->runner_life) return;
   const double factor = (runner.mode == "slow" ? 6.0 : 1.0) * (world.now() < runner.cold_until ? 2.0 : 1.0);
-  const Span beat(static_cast<std::int64_t>(8000 * factor));
+  const Duration beat(static_cast<std::int64_t>(8000 * factor));
   auto next = [this, id, attempt, life = life_, &cluster = cluster_] {
     if (life->alive)
       step(id, attempt);
@@ -226,7 +227,7 @@
     if (attempt->given++ == 0) return world.after(beat * 4, next);
     if (runner.mode == "truncate" || attempt->breaks) {
       free(cluster_, attempt, "truncated");
-      return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptEnd::broken); });
+      return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptOutcome::broken); });
     }
     free(cluster_, attempt, "whole");
     const std::string text =
@@ -234,17 +235,17 @@
     return give(id, attempt, [this, id, attempt, text] {
       attempt->headed = true;
       attempt->watcher->on_head(200, {});
-      if (attempts_.contains(id)) attempt->watcher->on_piece(text);
-      if (attempts_.contains(id)) finish(id, attempt, AttemptEnd::whole);
+      if (attempts_.contains(id)) attempt->watcher->on_chunk(text);
+      if (attempts_.contains(id)) finish(id, attempt, AttemptOutcome::whole);
     });
   }
   if ((runner.mode == "truncate" || attempt->breaks) && attempt->given >= attempt->pieces / 2) {
     free(cluster_, attempt, "truncated");
-    return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptEnd::broken); });
+    return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptOutcome::broken); });
   }
   if (attempt->given == attempt->pieces) {
     free(cluster_, attempt, "whole");
-    return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptEnd::whole); });
+    return give(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptOutcome::whole); });
   }
   const std::string text = attempt->id + " " + attempt->run + " " + std::to_string(attempt->given) + " " +
                            std::to_string(attempt->pieces) + "\n";
@@ -255,16 +256,16 @@
     if (first) attempt->watcher->on_head(200, {});
     if (!attempts_.contains(id)) return;
     guard(id, attempt, attempt->request.between_pieces);
-    attempt->watcher->on_piece(text);
+    attempt->watcher->on_chunk(text);
   });
   world.after(beat, next);
 }
 
 // Something travels back from the runner; pieces of one attempt keep their order, since it is one stream.
-void SimulatedExchange::give(Id id, const AttemptPointer& attempt, std::function<void()> what) {
+void SimulatedRunnerClient::give(Id id, const AttemptPointer& attempt, std::function<void()> what) {
   World& world = cluster_.world;
   if (world.is_cut(attempt->runner->name, attempt->runner->zone, place_, zone_)) return;
-  const Span way = attempt->runner->zone == zone_ ? Span(100) : Span(1200);
+  const Duration way = attempt->runner->zone == zone_ ? Duration(100) : Duration(1200);
   world.at(way, life_, [this, id, attempt, what = std::move(what)] {
     if (!attempts_.contains(id)) return;
     if (attempt->held || !attempt->kept.empty())
@@ -274,21 +275,21 @@
   });
 }
 
-void SimulatedExchange::finish(Id id, const AttemptPointer& attempt, AttemptEnd end) {
+void SimulatedRunnerClient::finish(Id id, const AttemptPointer& attempt, AttemptOutcome end) {
   if (attempts_.erase(id) == 0) return;
   attempt->kept.clear();
   if (attempt->connection)
-    end == AttemptEnd::whole && attempt->request.keep_connection ? connections_.keep(attempt->connection)
-                                                                 : connections_.close(attempt->connection);
+    end == AttemptOutcome::whole && attempt->request.keep_connection ? connections_.keep(attempt->connection)
+                                                                     : connections_.close(attempt->connection);
   attempt->watcher->on_end(end);
 }
 
 // What a held attempt keeps refers to the attempt itself.
-SimulatedExchange::~SimulatedExchange() {
+SimulatedRunnerClient::~SimulatedRunnerClient() {
   for (auto& [id, attempt] : attempts_) attempt->kept.clear();
 }
 
-void SimulatedExchange::hold(Id id, bool held) {
+void SimulatedRunnerClient::hold(Id id, bool held) {
   auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   const AttemptPointer attempt = found->second;
@@ -296,7 +297,7 @@
   ++attempt->beat;
   if (held) return;
   guard(id, attempt, attempt->request.between_pieces);
-  cluster_.world.at(Span{0}, life_, [this, id, attempt] {
+  cluster_.world.at(Duration{0}, life_, [this, id, attempt] {
     while (!attempt->kept.empty() && !attempt->held && attempts_.contains(id)) {
       Task next = std::move(attempt->kept.front());
       attempt->kept.pop_front();
@@ -305,15 +306,15 @@
   });
 }
 
-void SimulatedExchange::close_idle(const Address& to, const std::string& runner) {
+void SimulatedRunnerClient::close_idle(const Address& to, const std::string& runner) {
   connections_.close_idle(pool_key(to, runner));
 }
 
-std::size_t SimulatedExchange::connections(const Address& to, const std::string& runner) const {
+std::size_t SimulatedRunnerClient::connections(const Address& to, const std::string& runner) const {
   return connections_.open_to(pool_key(to, runner));
 }
 
-void SimulatedExchange::cancel(Id id) {
+void SimulatedRunnerClient::cancel(Id id) {
   auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   const AttemptPointer attempt = found->second;
@@ -321,7 +322,7 @@
   if (attempt->connection) connections_.close(attempt->connection);
   attempts_.erase(found);
   // The runner notices a closed stream at its next piece; here at once, as an event of its own.
-  cluster_.world.after(Span(1500), [attempt, &cluster = cluster_] { free(cluster, attempt, "cancelled"); });
+  cluster_.world.after(Duration(1500), [attempt, &cluster = cluster_] { free(cluster, attempt, "cancelled"); });
 }
 
 }  // namespace mothwalk::simulate
--- a/source/simulate/simulated_exchange.hpp
+++ b/source/simulate/simulated_runner_client.hpp
@@ -15,7 +15,7 @@
   std::string mode = "sound";          // sound, dark, slow, truncate, nonsense
   double broken_share = 0;             // of its answers, that it breaks off
   RunnerConnections connections;       // where it has no limit of them, they are not modelled
-  Moment cold_until;
+  TimePoint cold_until;
   std::uint64_t life = 1, runs = 0;
   std::uint32_t active = 0;
   std::deque<Task> waiting;
@@ -27,11 +27,11 @@
   std::uint64_t hits = 0, misses = 0;
 };
 
-class SimulatedExchange : public Exchange {
+class SimulatedRunnerClient : public RunnerClient {
  public:
-  SimulatedExchange(SimulatedCluster& cluster, std::string place, std::string zone, LifePointer life);
-  ~SimulatedExchange() override;
-  Id start(const AttemptRequest& request, std::shared_ptr<AttemptWatcher> watcher) override;
+  SimulatedRunnerClient(SimulatedCluster& cluster, std::string place, std::string zone, LifePointer life);
+  ~SimulatedRunnerClient() override;
+  Id start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> watcher) override;
   void cancel(Id id) override;
   void close_idle(const Address& to, const std::string& runner) override;
   std::size_t connections(const Address& to, const std::string& runner) const override;
@@ -40,7 +40,7 @@
  private:
   struct Attempt {
     AttemptRequest request;
-    std::shared_ptr<AttemptWatcher> watcher;
+    std::shared_ptr<AttemptObserver> watcher;
     RunnerModel* runner = nullptr;
     std::uint64_t runner_life = 0;
     std::string id, run, by;  // by: the machine that sent it
@@ -49,24 +49,24 @@
     bool headed = false;                    // the daemon has the head of its answer
     bool breaks = false;                    // the runner breaks its answer off
     std::deque<Task> kept;                  // what has come while the attempt was held
-    Moment decided;                         // when its caller decided to send it
+    TimePoint decided;                      // when its caller decided to send it
     SimulatedConnectionPointer connection;  // where the runner has a limit of them
     bool over_kept_connection = false;
     std::uint64_t beat = 0;  // grows with every sign of life, for the budgets
   };
   using AttemptPointer = std::shared_ptr<Attempt>;
   void dispatch(Id id, const AttemptPointer& attempt);
-  void connected(Id id, const AttemptPointer& attempt, Span way);
-  void transmit(Id id, const AttemptPointer& attempt, Span way);
+  void connected(Id id, const AttemptPointer& attempt, Duration way);
+  void transmit(Id id, const AttemptPointer& attempt, Duration way);
   void arrive(Id id, const AttemptPointer& attempt, const LifePointer& life);
   void connection_lost(Id id, const AttemptPointer& attempt);
   static void enter(SimulatedCluster& cluster, const AttemptPointer& attempt);
   void begin(Id id, const AttemptPointer& attempt);
   void step(Id id, const AttemptPointer& attempt);
   void give(Id id, const AttemptPointer& attempt, std::function<void()> what);
-  void finish(Id id, const AttemptPointer& attempt, AttemptEnd end);
+  void finish(Id id, const AttemptPointer& attempt, AttemptOutcome end);
   static void free(SimulatedCluster& cluster, const AttemptPointer& attempt, const std::string& how);
-  void guard(Id id, const AttemptPointer& attempt, Span budget);
+  void guard(Id id, const AttemptPointer& attempt, Duration budget);
 
   SimulatedCluster& cluster_;
   std::string place_, zone_;
--- a/source/simulate/simulated_volume.cpp
+++ b/source/simulate/simulated_volume.cpp
@@ -12,7 +12,7 @@
   return static_cast<Kept>(random.below(3));
 }
 
-void put(Bytes& content, std::size_t offset, View bytes) {
+void put(Bytes& content, std::size_t offset, StringView bytes) {
   if (content.size() < offset + bytes.size()) content.resize(offset + bytes.size(), '\0');
   content.replace(offset, bytes.size(), bytes);
 }
@@ -33,7 +33,7 @@
 Result<Bytes> SimulatedVolume::read(const std::string& file) {
   auto found = names_.find(file);
   if (unreadable || found == names_.end())
-    return Fault{FaultKind::damaged, "data_folder", "the records can't be read", "check the disk"};
+    return Error{ErrorKind::damaged, "data_folder", "the records can't be read", "check the disk"};
   return found->second->content;
 }
 
@@ -50,13 +50,13 @@
   return true;
 }
 
-bool SimulatedVolume::write(const std::string& file, View bytes) {
+bool SimulatedVolume::write(const std::string& file, StringView bytes) {
   auto found = names_.find(file);
   if (!begin_operation() || found == names_.end()) return false;
   File& to = *found->second;
   const std::size_t used = total();
   const std::size_t room = capacity == 0 ? bytes.size() : capacity - std::min(used, capacity);
-  const View fitting = bytes.substr(0, std::min(room, bytes.size()));
+  const StringView fitting = bytes.substr(0, std::min(room, bytes.size()));
   to.unsynced.push_back(Change{to.content.size(), Bytes(fitting), false});
   to.content += fitting;
   return fitting.size() == bytes.size();
@@ -115,7 +115,7 @@
     const std::size_t size = change.bytes.size();
     const std::size_t first = kept == Kept::torn ? random.below(size + 1) : 0;
     const std::size_t length = kept == Kept::torn ? random.below(size - first + 1) : size;
-    put(file.content, change.offset + first, View(change.bytes).substr(first, length));
+    put(file.content, change.offset + first, StringView(change.bytes).substr(first, length));
   }
   file.synced = file.content;
   file.unsynced.clear();
--- a/source/simulate/simulated_volume.hpp
+++ b/source/simulate/simulated_volume.hpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <optional>
 
-#include "seams/seams.hpp"
+#include "interfaces/interfaces.hpp"
 
 namespace mothwalk::simulate {
 
@@ -16,7 +16,7 @@
   Result<Bytes> read(const std::string& file) override;
   bool create(const std::string& file) override;
   bool remove(const std::string& file) override;
-  bool write(const std::string& file, View bytes) override;
+  bool write(const std::string& file, StringView bytes) override;
   bool cut(const std::string& file, std::size_t size) override;
   bool sync(const std::string& file) override;
   bool rename(const std::string& from, const std::string& to) override;
--- a/source/simulate/world.cpp
+++ b/source/simulate/world.cpp
@@ -15,12 +15,12 @@
 }
 }  // namespace
 
-void World::at(Span span, LifePointer life, Task task) {
+void World::at(Duration span, LifePointer life, Task task) {
   queue_.push(
-      Event{now_ + std::max(span, Span{0}), ++order_, std::move(life), std::make_shared<Task>(std::move(task))});
+      Event{now_ + std::max(span, Duration{0}), ++order_, std::move(life), std::make_shared<Task>(std::move(task))});
 }
 
-void World::run_until(Moment end) {
+void World::run_until(TimePoint end) {
   while (!queue_.empty() && queue_.top().time <= end) {
     Event event = queue_.top();
     queue_.pop();
@@ -45,18 +45,18 @@
   auto tasks = std::move(life->deferred);
   life->deferred.clear();
   std::sort(tasks.begin(), tasks.end(), [](const auto& left, const auto& right) { return left.first < right.first; });
-  for (auto& [order, task] : tasks) at(Span{0}, life, std::move(task));
+  for (auto& [order, task] : tasks) at(Duration{0}, life, std::move(task));
 }
 
-Span World::shortest_delay(const std::string& from_zone, const std::string& to_zone) {
-  return Span(from_zone == to_zone ? 80 : 900);
+Duration World::shortest_delay(const std::string& from_zone, const std::string& to_zone) {
+  return Duration(from_zone == to_zone ? 80 : 900);
 }
 
-Span World::delay(const std::string& from_zone, const std::string& to_zone) {
+Duration World::delay(const std::string& from_zone, const std::string& to_zone) {
   const std::int64_t base = shortest_delay(from_zone, to_zone).count();
   // Now and then a packet is sent again.
   const std::int64_t slow = random.below(400) == 0 ? 20000 : 0;
-  return Span(base + static_cast<std::int64_t>(random.below(static_cast<std::size_t>(base))) + slow);
+  return Duration(base + static_cast<std::int64_t>(random.below(static_cast<std::size_t>(base))) + slow);
 }
 
 bool World::is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
@@ -81,10 +81,10 @@
   const std::uint64_t number = ++points[kind];
   if (kind != armed_kind || number != armed) return;
   // The strike comes as an event of its own, so that the one who passed the point is off the stack.
-  after(Span{0}, [this, place] { strike(place); });
+  after(Duration{0}, [this, place] { strike(place); });
 }
 
-Timers::Id SimulatedTimers::after(Span span, Task task) {
+Timers::Id SimulatedTimers::after(Duration span, Task task) {
   const Id id = ++last_;
   live_->insert(id);
   world_.at(span, life_, [live = live_, id, task = std::move(task)] {
@@ -103,7 +103,7 @@
 }
 
 Result<Bytes> SimulatedDisk::read_all() {
-  if (unreadable > 0) return Fault{FaultKind::damaged, "data_folder", "the records can't be read", "check the disk"};
+  if (unreadable > 0) return Error{ErrorKind::damaged, "data_folder", "the records can't be read", "check the disk"};
   return files_->read_all();
 }
 
@@ -123,8 +123,8 @@
 void SimulatedDisk::begin() {
   busy_ = true;
   syncing_.swap(orders_);
-  world_.at(Span(sync_time.count() / 2 +
-                 static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(sync_time.count())))),
+  world_.at(Duration(sync_time.count() / 2 +
+                     static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(sync_time.count())))),
             life_, [this] { complete(); });
 }
 
--- a/source/simulate/world.hpp
+++ b/source/simulate/world.hpp
@@ -5,8 +5,8 @@
 #include <queue>
 
 #include "coding/json.hpp"
+#include "interfaces/interfaces.hpp"
 #include "replication/log_files.hpp"
-#include "seams/seams.hpp"
 #include "simulate/simulated_volume.hpp"
 
 namespace mothwalk::simulate {
@@ -38,17 +38,17 @@
 class World {
  public:
   explicit World(std::uint64_t seed) : random(seed) {}
-  Moment now() const { return now_; }
+  TimePoint now() const { return now_; }
   std::int64_t milliseconds() const { return now_.microseconds / 1000; }
-  void at(Span span, LifePointer life, Task task);
-  void after(Span span, Task task) { at(span, nullptr, std::move(task)); }
-  void run_until(Moment end);
+  void at(Duration span, LifePointer life, Task task);
+  void after(Duration span, Task task) { at(span, nullptr, std::move(task)); }
+  void run_until(TimePoint end);
   void freeze(const LifePointer& life) { life->frozen = true; }
   void wake(const LifePointer& life);
 
   // The network. Places are machines and runners; a cut names groups of zones or single places, one way or both.
-  Span delay(const std::string& from_zone, const std::string& to_zone);
-  static Span shortest_delay(const std::string& from_zone, const std::string& to_zone);
+  Duration delay(const std::string& from_zone, const std::string& to_zone);
+  static Duration shortest_delay(const std::string& from_zone, const std::string& to_zone);
   void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
   void mend() { cuts_.clear(); }
   bool is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
@@ -81,14 +81,14 @@
 
  private:
   struct Event {
-    Moment time;
+    TimePoint time;
     std::uint64_t order;
     LifePointer life;
     std::shared_ptr<Task> task;
     bool operator>(const Event& other) const { return std::tie(time, order) > std::tie(other.time, other.order); }
   };
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
-  Moment now_{1};
+  TimePoint now_{1};
   std::uint64_t order_ = 0;
   std::set<std::pair<std::string, std::string>> cuts_;
   std::vector<json::object> ledger_;
@@ -98,8 +98,8 @@
 class SimulatedTimers : public Timers {
  public:
   SimulatedTimers(World& world, LifePointer life) : world_(world), life_(std::move(life)) {}
-  Moment now() const override { return world_.now(); }
-  Id after(Span span, Task task) override;
+  TimePoint now() const override { return world_.now(); }
+  Id after(Duration span, Task task) override;
   void cancel(Id id) override { live_->erase(id); }
 
  private:
@@ -127,7 +127,7 @@
   std::size_t size() const { return volume_.size("records"); }
   std::size_t total() const { return volume_.total(); }
 
-  Span sync_time = std::chrono::microseconds(400);
+  Duration sync_time = std::chrono::microseconds(400);
   bool stalled = false;
   int unreadable = 0;  // so many starts find a disk that can't be read
 
--- a/source/stand_ins/caller.cpp
+++ b/source/stand_ins/caller.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 #include <iterator>
 
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 #include "stand_ins/ledger.hpp"
 #include "stand_ins/shapes.hpp"
 
@@ -22,7 +22,7 @@
 struct Plan {
   std::vector<Address> targets;
   std::string ledger;
-  Span length = std::chrono::seconds(10), settle = std::chrono::seconds(15);
+  Duration length = std::chrono::seconds(10), settle = std::chrono::seconds(15);
   std::uint32_t most = 0;  // stop after so many of each load; zero for no such limit
   std::vector<StreamLoad> streams;
   std::vector<LotLoad> lots;
@@ -34,16 +34,16 @@
 // One HTTP call with pieces.
 class Call : public std::enable_shared_from_this<Call> {
  public:
-  using Piece = std::function<void(View)>;
+  using Piece = std::function<void(StringView)>;
   using Over = std::function<void(bool whole, bool connected)>;
   Call(boost::asio::io_context& context, const Address& to) : stream_(context), to_(to) {}
   http::request<http::string_body> request;
   std::optional<http::response_parser<http::buffer_body>> parser;
-  Piece piece = [](View) {
+  Piece piece = [](StringView) {
   };
   Over over;
 
-  void start(Span limit) {
+  void start(Duration limit) {
     request.version(11);
     request.set(http::field::host, to_.text);
     request.set(http::field::connection, "close");
@@ -73,7 +73,7 @@
     http::async_read_some(stream_, buffer_, *parser, [self = shared_from_this()](beast::error_code error, std::size_t) {
       if (error == http::error::need_buffer) error = {};
       const std::size_t count = self->space_.size() - self->parser->get().body().size;
-      if (count > 0) self->piece(View(self->space_.data(), count));
+      if (count > 0) self->piece(StringView(self->space_.data(), count));
       if (error) return self->finish(false);
       if (self->parser->is_done()) return self->finish(true);
       self->read();
@@ -82,7 +82,7 @@
   void finish(bool whole) {
     if (over) over(whole, connected_);
     over = nullptr;
-    piece = [](View) {
+    piece = [](StringView) {
     };
   }
   beast::tcp_stream stream_;
@@ -162,7 +162,7 @@
     const std::int64_t sent = Ledger::milliseconds_now();
     auto text = std::make_shared<std::string>();
     auto first = std::make_shared<std::int64_t>(0);
-    call->piece = [text, first](View piece) {
+    call->piece = [text, first](StringView piece) {
       if (*first == 0) *first = Ledger::milliseconds_now();
       text->append(piece);
     };
@@ -224,7 +224,7 @@
   }
   static std::string check_plain(const std::string& id, const std::string& text, std::string& run) {
     auto parsed = parse_json(text);
-    if (fault_of(parsed)) return "garbled answer";
+    if (error_of(parsed)) return "garbled answer";
     const auto& value = std::get<json::value>(parsed);
     if (!value.is_object() || !value.as_object().contains("id") || value.at("id").as_string() != id)
       return "another's answer: " + text;
@@ -239,7 +239,7 @@
     call->request.target(target_path);
     call->request.body() = body;
     auto text = std::make_shared<std::string>();
-    call->piece = [text](View piece) {
+    call->piece = [text](StringView piece) {
       text->append(piece);
     };
     call->over = [text, then, weak = std::weak_ptr(call)](bool whole, bool) {
@@ -316,7 +316,7 @@
 
   void take(std::shared_ptr<LotState> lot, const std::string& text, std::size_t from) {
     auto parsed = parse_json(text);
-    if (fault_of(parsed)) return;
+    if (error_of(parsed)) return;
     for (const auto& value : std::get<json::value>(parsed).at("results").as_array()) {
       const std::size_t position = value.at("position").to_number<std::size_t>();
       const std::string whole = json::serialize(value);
@@ -375,7 +375,7 @@
   std::ifstream stream(words[1]);
   const std::string text((std::istreambuf_iterator<char>(stream)), std::istreambuf_iterator<char>());
   auto plan = from_json<Plan>(text);
-  if (auto fault = fault_of(plan))
+  if (auto fault = error_of(plan))
     return std::cerr << "stand-in-caller: " << fault->field << ": " << fault->message << "\n", 2;
   if (std::get<Plan>(plan).targets.empty()) return std::cerr << "stand-in-caller: the plan has no targets\n", 2;
   boost::asio::io_context context(1);
--- a/source/stand_ins/fleet.cpp
+++ b/source/stand_ins/fleet.cpp
@@ -161,8 +161,8 @@
   std::filesystem::remove_all(shape.machines[index].folder);
 }
 
-bool Fleet::until(std::function<bool()> holds, Span limit) {
-  const Moment end = steady_now() + limit;
+bool Fleet::until(std::function<bool()> holds, Duration limit) {
+  const TimePoint end = steady_now() + limit;
   while (!holds()) {
     if (steady_now() > end) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -172,9 +172,9 @@
 
 std::optional<json::value> Fleet::get(std::size_t machine, const std::string& target) {
   auto answer = http_call(shape.machines[machine].control, "GET", target, "", std::chrono::seconds(5));
-  if (fault_of(answer) || std::get<HttpAnswer>(answer).status != 200) return std::nullopt;
+  if (error_of(answer) || std::get<HttpAnswer>(answer).status != 200) return std::nullopt;
   auto parsed = parse_json(std::get<HttpAnswer>(answer).body);
-  if (fault_of(parsed)) return std::nullopt;
+  if (error_of(parsed)) return std::nullopt;
   return std::get<json::value>(parsed);
 }
 
@@ -182,17 +182,17 @@
   const std::string path = "/v1/resources/" + type + "/" + name;
   std::uint64_t version = 0;
   auto current = http_call(shape.machines[machine].control, "GET", path, "", std::chrono::seconds(6));
-  if (fault_of(current)) return false;
+  if (error_of(current)) return false;
   if (std::get<HttpAnswer>(current).status == 200) {
     auto parsed = parse_json(std::get<HttpAnswer>(current).body);
-    if (fault_of(parsed)) return false;
+    if (error_of(parsed)) return false;
     version = std::get<json::value>(parsed).at("version").to_number<std::uint64_t>();
   } else if (std::get<HttpAnswer>(current).status != 404) {
     return false;
   }
   auto answer = http_call(shape.machines[machine].control, "PUT", path + "?version=" + std::to_string(version),
                           json::serialize(spec), std::chrono::seconds(8));
-  return !fault_of(answer) && std::get<HttpAnswer>(answer).status == 200;
+  return !error_of(answer) && std::get<HttpAnswer>(answer).status == 200;
 }
 
 bool Fleet::serving(std::size_t machine) {
@@ -240,7 +240,7 @@
   return true;
 }
 
-std::string Fleet::write_plan(Span length, Span settle, std::uint32_t most) {
+std::string Fleet::write_plan(Duration length, Duration settle, std::uint32_t most) {
   json::array targets;
   for (const auto& machine : shape.machines) targets.push_back(json::value(json::string(machine.callers.text)));
   const json::object plan{{"targets", targets},
--- a/source/stand_ins/fleet.hpp
+++ b/source/stand_ins/fleet.hpp
@@ -30,7 +30,7 @@
   int wait_for(pid_t pid);
 
   // Waits on an event: polls until it holds; false only when the (generous) limit has passed.
-  static bool until(std::function<bool()> holds, Span limit = std::chrono::seconds(60));
+  static bool until(std::function<bool()> holds, Duration limit = std::chrono::seconds(60));
   std::optional<json::value> get(std::size_t machine, const std::string& target);
   // Applies a resource through a machine, reading its version first; true when acknowledged.
   bool apply(std::size_t machine, const std::string& type, const std::string& name, const json::object& spec);
@@ -41,7 +41,7 @@
   std::string runner_ledger() const { return folder + "/runners.ledger"; }
   std::string platform_ledger() const { return folder + "/platform.ledger"; }
   std::string caller_ledger() const { return folder + "/callers.ledger"; }
-  std::string write_plan(Span length, Span settle, std::uint32_t most);
+  std::string write_plan(Duration length, Duration settle, std::uint32_t most);
   bool apply_configuration();
 
  private:
--- a/source/stand_ins/judge_rules.cpp
+++ b/source/stand_ins/judge_rules.cpp
@@ -13,22 +13,22 @@
   while (std::getline(stream, line)) {
     auto parsed = parse_json(line);
     // A killed writer may leave half a line; every other line is whole.
-    if (!fault_of(parsed) && std::get<json::value>(parsed).is_object())
+    if (!error_of(parsed) && std::get<json::value>(parsed).is_object())
       lines.push_back(std::get<json::value>(parsed).as_object());
   }
   return lines;
 }
 
 namespace {
-std::string text(const json::object& line, View name) {
+std::string text(const json::object& line, StringView name) {
   const auto* value = line.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : std::string();
 }
-std::int64_t number(const json::object& line, View name) {
+std::int64_t number(const json::object& line, StringView name) {
   const auto* value = line.if_contains(name);
   return value != nullptr && value->is_number() ? value->to_number<std::int64_t>() : 0;
 }
-bool flag(const json::object& line, View name) {
+bool flag(const json::object& line, StringView name) {
   const auto* value = line.if_contains(name);
   return value != nullptr && value->is_bool() && value->as_bool();
 }
--- a/source/stand_ins/platform.cpp
+++ b/source/stand_ins/platform.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <thread>
 
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 #include "stand_ins/fleet.hpp"
 #include "stand_ins/judge.hpp"
 #include "stand_ins/soak.hpp"
@@ -56,9 +56,9 @@
 // No input ends a daemon, and each fault is told in its way.
 void bad_input(Fleet& fleet) {
   const MachineShape& machine = fleet.shape.machines[1];
-  auto status = [&](const Address& to, View method, const std::string& target, View body) {
+  auto status = [&](const Address& to, StringView method, const std::string& target, StringView body) {
     auto answer = http_call(to, method, target, body, std::chrono::seconds(30));
-    return fault_of(answer) ? 0 : std::get<HttpAnswer>(answer).status;
+    return error_of(answer) ? 0 : std::get<HttpAnswer>(answer).status;
   };
   raw_exchange(machine.address, std::string("\xff\xff\xff\xff nonsense", 13));
   raw_exchange(machine.address, std::string("\0\0\0\x05hello", 9));
@@ -88,7 +88,7 @@
   // Runners that answer nonsense: unknown for the caller, never a success.
   for (const auto& runner : fleet.shape.runners) status(runner.control, "POST", "/stand-in/mode/nonsense", "");
   auto nonsense = http_call(machine.callers, "POST", "/audits", "x", std::chrono::seconds(30));
-  check(!fault_of(nonsense) && std::get<HttpAnswer>(nonsense).status == 502 &&
+  check(!error_of(nonsense) && std::get<HttpAnswer>(nonsense).status == 502 &&
             std::get<HttpAnswer>(nonsense).headers["x-mothwalk-outcome"] == "unknown",
         "a runner's nonsense is a bad gateway, marked unknown");
   for (const auto& runner : fleet.shape.runners) status(runner.control, "POST", "/stand-in/mode/sound", "");
@@ -116,7 +116,7 @@
     // The platform's own client is a caller through each single daemon.
     auto answer =
         http_call(fleet.shape.machines[machine].callers, "POST", "/audits", "a receipt", std::chrono::seconds(30));
-    const bool good = !fault_of(answer) && std::get<HttpAnswer>(answer).status == 200 &&
+    const bool good = !error_of(answer) && std::get<HttpAnswer>(answer).status == 200 &&
                       std::get<HttpAnswer>(answer).headers["x-mothwalk-outcome"] == "answer";
     check(good, "daemon " + std::to_string(machine) + " carried a request to a runner");
   }
@@ -145,10 +145,10 @@
   const std::string path = "/v1/resources/lane/audits";
   auto stale = http_call(fleet.shape.machines[2].control, "PUT", path + "?version=0",
                          R"({"path":"/audits","kind":"model"})", std::chrono::seconds(10));
-  check(!fault_of(stale) && std::get<HttpAnswer>(stale).status == 412, "a stale version is refused");
+  check(!error_of(stale) && std::get<HttpAnswer>(stale).status == 412, "a stale version is refused");
   auto faulty = http_call(fleet.shape.machines[2].control, "PUT", path + "?version=1",
                           R"({"path":"/audits","kind":"model","retires":2})", std::chrono::seconds(10));
-  check(!fault_of(faulty) && std::get<HttpAnswer>(faulty).status == 400 &&
+  check(!error_of(faulty) && std::get<HttpAnswer>(faulty).status == 400 &&
             std::get<HttpAnswer>(faulty).body.find("retires") != std::string::npos,
         "an unknown field is refused by its name");
   bad_input(fleet);
@@ -159,9 +159,9 @@
         "after a total loss the configuration is back");
   check(Fleet::until([&] {
           auto answer = http_call(fleet.shape.machines[3].callers, "GET", "/lots", "", std::chrono::seconds(10));
-          if (fault_of(answer)) return false;
+          if (error_of(answer)) return false;
           auto parsed = parse_json(std::get<HttpAnswer>(answer).body);
-          if (fault_of(parsed) || !std::get<json::value>(parsed).as_object().contains("lots")) return false;
+          if (error_of(parsed) || !std::get<json::value>(parsed).as_object().contains("lots")) return false;
           return std::get<json::value>(parsed).at("lots").as_array().size() == 4;
         }),
         "after a total loss the lots are back");
@@ -281,7 +281,7 @@
     observe(ledger, "service back after a total loss", timed([&] {
               for (const auto& machine : fleet.shape.machines) {
                 auto answer = http_call(machine.callers, "POST", path, "hello", std::chrono::seconds(5));
-                if (fault_of(answer) || std::get<HttpAnswer>(answer).status != 200) return false;
+                if (error_of(answer) || std::get<HttpAnswer>(answer).status != 200) return false;
               }
               return true;
             }),
@@ -305,9 +305,9 @@
   std::uint64_t resets = 0;
   for (const auto& runner : fleet.shape.runners) {
     auto answer = http_call(runner.control, "GET", "/stand-in/stats", "", std::chrono::seconds(5));
-    if (!check(!fault_of(answer), "runner " + runner.name + " tells its counts")) continue;
+    if (!check(!error_of(answer), "runner " + runner.name + " tells its counts")) continue;
     auto parsed = parse_json(std::get<HttpAnswer>(answer).body);
-    if (fault_of(parsed) || runner.connections == 0) continue;
+    if (error_of(parsed) || runner.connections == 0) continue;
     const json::value& counts = std::get<json::value>(parsed);
     resets += counts.at("resets").to_number<std::uint64_t>();
     std::cout << "        " << runner.name << ": " << counts.at("most_open") << " connections at most of "
--- a/source/stand_ins/runner.cpp
+++ b/source/stand_ins/runner.cpp
@@ -10,7 +10,7 @@
 #include <iostream>
 #include <list>
 
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 #include "stand_ins/ledger.hpp"
 
 namespace beast = boost::beast;
@@ -126,7 +126,7 @@
     run_ = model_.name + "-" + std::to_string(::getpid()) + "-" + std::to_string(model_.runs);
     ledger_.write({{"what", "run"}, {"id", id_}, {"run", run_}, {"runner", model_.name}});
     const std::string& body = parser_->get().body();
-    const bool hit = body.size() >= 512 && model_.cached(hash_of(View(body).substr(0, 512)));
+    const bool hit = body.size() >= 512 && model_.cached(hash_of(StringView(body).substr(0, 512)));
     const double fresh = hit ? static_cast<double>(body.size()) * 0.1 : static_cast<double>(body.size());
     after(1.0 + fresh / 1024.0 * model_.prefill_per_kilobyte, [this] { decode(); });
   }
--- a/source/stand_ins/shapes.cpp
+++ b/source/stand_ins/shapes.cpp
@@ -153,7 +153,7 @@
 
 Shape storage_shape() {
   // What a third of a core was seen to take for records of lots on the users' platform.
-  constexpr Span storage_time_per_kilobyte = std::chrono::microseconds(80);
+  constexpr Duration storage_time_per_kilobyte = std::chrono::microseconds(80);
   Shape shape = shape_by_roles("storage", 8);
   for (auto& machine : shape.machines)
     if (machine.keeps == "lots") machine.time_per_kilobyte = storage_time_per_kilobyte;
@@ -162,7 +162,7 @@
 }
 
 Shape grown_shape() {
-  constexpr Span notice_idle = std::chrono::seconds(5);
+  constexpr Duration notice_idle = std::chrono::seconds(5);
   constexpr std::uint32_t model_slots = 16, notice_slots = 6, notice_connections = 24;
   Shape shape;
   shape.name = "grown";
--- a/source/stand_ins/shapes.hpp
+++ b/source/stand_ins/shapes.hpp
@@ -17,7 +17,7 @@
   std::string name, lane;
   double rate = 1;
   std::uint32_t items = 10, item_bytes = 100;
-  Span deadline = std::chrono::seconds(8);
+  Duration deadline = std::chrono::seconds(8);
   bool repeatable = true;
   std::uint32_t cancel_every = 0;
   MOTHWALK_FIELDS(name, lane, rate, items, item_bytes, deadline, repeatable, cancel_every)
@@ -31,7 +31,7 @@
   std::string folder;
   int pid = 0;
   // Simulated time that handling a kilobyte of a message takes; zero: none.
-  Span time_per_kilobyte{};
+  Duration time_per_kilobyte{};
 };
 
 struct RunnerShape {
@@ -42,7 +42,7 @@
   double cold = 0;
   int pid = 0;
   std::uint32_t connections = 0;  // that it takes from all callers together; 0: no bound
-  Span idle{};                    // how long it says that it keeps idle connections; zero: it does not say
+  Duration idle{};                // how long it says that it keeps idle connections; zero: it does not say
 };
 
 struct Shape {
--- a/source/stand_ins/soak.cpp
+++ b/source/stand_ins/soak.cpp
@@ -8,16 +8,16 @@
 #include <random>
 #include <thread>
 
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 
 namespace mothwalk {
 
 namespace {
 using std::chrono::milliseconds;
 constexpr std::size_t most_at_once = 3;
-constexpr Span first_at = milliseconds(2000), quiet_end = milliseconds(3000);
-constexpr Span shortest = milliseconds(500), longest = milliseconds(5000);
-constexpr Span mean_gap = milliseconds(900);
+constexpr Duration first_at = milliseconds(2000), quiet_end = milliseconds(3000);
+constexpr Duration shortest = milliseconds(500), longest = milliseconds(5000);
+constexpr Duration mean_gap = milliseconds(900);
 const std::vector<std::string> daemon_kinds{"kill", "stop", "freeze"};
 const std::vector<std::string> runner_kinds{"runner-kill", "dark", "slow", "truncate", "lost"};
 
@@ -25,8 +25,8 @@
   return std::find(daemon_kinds.begin(), daemon_kinds.end(), trouble.kind) != daemon_kinds.end();
 }
 
-Span between(std::mt19937_64& random, Span least, Span most) {
-  return Span(std::uniform_int_distribution<std::int64_t>(least.count(), most.count())(random));
+Duration between(std::mt19937_64& random, Duration least, Duration most) {
+  return Duration(std::uniform_int_distribution<std::int64_t>(least.count(), most.count())(random));
 }
 
 template <class T>
@@ -40,13 +40,13 @@
          std::to_string(length.count() / 1000) + " ms";
 }
 
-std::vector<Trouble> draw_troubles(const Shape& shape, std::uint64_t seed, Span length) {
+std::vector<Trouble> draw_troubles(const Shape& shape, std::uint64_t seed, Duration length) {
   std::mt19937_64 random(seed);
   const auto disks = static_cast<std::size_t>(
       std::count_if(shape.machines.begin(), shape.machines.end(), [](const auto& machine) { return machine.disk; }));
   const std::size_t bears = (disks - 1) / 2;
   std::vector<Trouble> troubles;
-  for (Span at = first_at; at < length - quiet_end - shortest; at += between(random, Span{}, mean_gap * 2)) {
+  for (Duration at = first_at; at < length - quiet_end - shortest; at += between(random, Duration{}, mean_gap * 2)) {
     Trouble trouble;
     trouble.kind = random() % 2 == 0 ? pick(random, daemon_kinds) : pick(random, runner_kinds);
     trouble.target = random() % (of_daemon(trouble) ? shape.machines.size() : shape.runners.size());
@@ -99,7 +99,7 @@
 
 void Soak::play() {
   struct Event {
-    Span at;
+    Duration at;
     bool begins;
     const Trouble* trouble;
   };
@@ -109,10 +109,10 @@
     events.push_back({trouble.at + trouble.length, false, &trouble});
   }
   std::sort(events.begin(), events.end(), [](const Event& left, const Event& right) { return left.at < right.at; });
-  const Moment began = steady_now();
+  const TimePoint began = steady_now();
   for (const Event& event : events) {
-    const Span ahead = event.at - (steady_now() - began);
-    if (ahead > Span{}) std::this_thread::sleep_for(ahead);
+    const Duration ahead = event.at - (steady_now() - began);
+    if (ahead > Duration{}) std::this_thread::sleep_for(ahead);
     event.begins ? begin(*event.trouble) : end(*event.trouble);
   }
 }
--- a/source/stand_ins/soak.hpp
+++ b/source/stand_ins/soak.hpp
@@ -7,13 +7,13 @@
 struct Trouble {
   std::string kind;  // kill, stop, freeze (of a daemon); runner-kill; or a mode of a runner
   std::size_t target = 0;
-  Span at{}, length{};  // from the soak's begin
+  Duration at{}, length{};  // from the soak's begin
   std::string text() const;
 };
 
 // The troubles of a seed, by their begin. None begins in the first two seconds, all end three seconds before the end;
 // no target has two at a time, and never are more daemons with a disk down than the rest of them bears.
-std::vector<Trouble> draw_troubles(const Shape& shape, std::uint64_t seed, Span length);
+std::vector<Trouble> draw_troubles(const Shape& shape, std::uint64_t seed, Duration length);
 
 class Soak {
  public:
--- a/tests/circle_duty_test.cpp
+++ b/tests/circle_duty_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-class CircleFixture : public Wire {
+class CircleFixture : public Transport {
  public:
   CircleFixture() {
     member("10.0.0.1:1", true);
@@ -59,8 +59,8 @@
                             to_cbor(lots), protocol_number});
   }
   // Reports each second that all members together have so many prompts open.
-  void run(Span span, std::uint32_t open_each, std::uint32_t queued = 0) {
-    for (const Moment end = world.now() + span; world.now() < end; world.run_until(world.now() + milliseconds(500)))
+  void run(Duration span, std::uint32_t open_each, std::uint32_t queued = 0) {
+    for (const TimePoint end = world.now() + span; world.now() < end; world.run_until(world.now() + milliseconds(500)))
       for (const auto& [address, each] : members.all) {
         if (!each.routes()) continue;
         LoadReport load;
@@ -271,13 +271,13 @@
   fixture.run(seconds(3), 1);
   REQUIRE(fixture.circle().warm.size() == 2);
   const std::uint64_t before = fixture.circle().ramps.at("1");
-  auto report = [&](int daemon, Span failure, bool returned) {
+  auto report = [&](int daemon, Duration failure, bool returned) {
     LoadReport load;
-    load.runners["1"] = ObservedLoad{0, false, true, Span{}, failure, returned, 0};
+    load.runners["1"] = ObservedLoad{0, false, true, Duration{}, failure, returned, 0};
     fixture.report("10.0.0." + std::to_string(daemon) + ":1", load);
     fixture.world.run_until(fixture.world.now() + milliseconds(400));
   };
-  report(1, Span{}, false);
+  report(1, Duration{}, false);
   CHECK(fixture.circle().warm.size() == 1);
   report(1, milliseconds(300), true);
   const std::uint64_t returned = fixture.circle().ramps.at("1");
@@ -286,7 +286,7 @@
   CHECK(fixture.circle().ramps.at("1") == returned);
   CHECK(fixture.circle().warm.size() == 2);
   // It fails anew.
-  report(3, Span{}, false);
+  report(3, Duration{}, false);
   CHECK(fixture.circle().ramps.at("1") > returned);
 }
 
--- a/tests/circle_test.cpp
+++ b/tests/circle_test.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 
 #include "circle/circle.hpp"
-#include "circle/law.hpp"
+#include "circle/pi_controller.hpp"
 
 using namespace mothwalk;
 
@@ -13,7 +13,7 @@
   for (double load : {0.5, 3.0, 6.0, 11.0, 20.0})
     for (std::size_t start : {2u, 8u, 40u})
       for (double slope : {0.7, 1.0, 1.4}) {
-        Law law;
+        PiController law;
         law.size = static_cast<double>(start);
         std::size_t size = start;
         std::size_t last = 0, moves_late = 0;
@@ -30,7 +30,7 @@
 }
 
 TEST_CASE("a surge grows the circle within few cycles and without winding up") {
-  Law law;
+  PiController law;
   law.size = 4;
   std::size_t size = 4, cycles = 0;
   while (size < 16 && cycles < 20) {
@@ -50,7 +50,7 @@
 }
 
 TEST_CASE("on incomplete data the circle never shrinks") {
-  Law law;
+  PiController law;
   law.size = 8;
   for (int cycle = 0; cycle < 10; ++cycle) CHECK(law.step(0.01, 0.6, 8, 2, 16, false) == 8);
 }
--- a/tests/coding_test.cpp
+++ b/tests/coding_test.cpp
@@ -4,8 +4,8 @@
 #include "coding/cbor.hpp"
 #include "coding/json.hpp"
 #include "control/control.hpp"
+#include "interfaces/interfaces.hpp"
 #include "lots/messages.hpp"
-#include "seams/seams.hpp"
 
 using namespace mothwalk;
 
@@ -13,13 +13,13 @@
   LotEntry entry;
   entry.what = "result";
   entry.item = 7;
-  entry.elapsed = Span{-5};
+  entry.elapsed = Duration{-5};
   entry.status = -3;
   entry.body = Bytes("a\0b", 3);
   auto back = from_cbor<LotEntry>(to_cbor(entry));
   REQUIRE(back);
   CHECK(back->what == "result");
-  CHECK(back->elapsed == Span{-5});
+  CHECK(back->elapsed == Duration{-5});
   CHECK(back->status == -3);
   CHECK(back->body == Bytes("a\0b", 3));
   // A newer daemon's message read by an older one: only the fields that both know.
@@ -28,12 +28,52 @@
   CHECK(shorter->item == 7);
 }
 
+namespace {
+struct RenamedMembers {
+  std::uint32_t count = 0;
+  std::vector<std::string> labels;
+  std::optional<bool> enabled;
+  MOTHWALK_FIELDS_AS("number", count, "names", labels, "on", enabled)
+};
+// The same record listed under its members' own names, which are the outer names of the one above.
+struct OwnNames {
+  std::uint32_t number = 0;
+  std::vector<std::string> names;
+  std::optional<bool> on;
+  MOTHWALK_FIELDS(number, names, on)
+};
+}  // namespace
+
+TEST_CASE("a record with outer names apart from its members writes and reads the outer names alone") {
+  const RenamedMembers renamed{7, {"a", "b"}, true};
+  const OwnNames own{7, {"a", "b"}, true};
+  CHECK(to_cbor(renamed) == to_cbor(own));
+  const auto from_own = from_cbor<RenamedMembers>(to_cbor(own));
+  REQUIRE(from_own);
+  CHECK(from_own->count == 7);
+  CHECK(from_own->labels == std::vector<std::string>{"a", "b"});
+  CHECK(from_own->enabled == true);
+  CHECK(to_cbor(renamed).find("count") == Bytes::npos);
+  CHECK(to_cbor(renamed).find("number") != Bytes::npos);
+
+  CHECK(json::serialize(to_json(renamed)) == R"({"number":7,"names":["a","b"],"on":true})");
+  const auto read = from_json<RenamedMembers>(R"({"number":9,"names":["c"],"on":false})");
+  REQUIRE(std::holds_alternative<RenamedMembers>(read));
+  CHECK(std::get<RenamedMembers>(read).count == 9);
+  CHECK(std::get<RenamedMembers>(read).labels == std::vector<std::string>{"c"});
+  CHECK(std::get<RenamedMembers>(read).enabled == false);
+  const auto inner = from_json<RenamedMembers>(R"({"count":9})");
+  REQUIRE(error_of(inner) != nullptr);
+  CHECK(error_of(inner)->field == "count");
+  CHECK(error_of(inner)->remedy == "use only: number, names, on");
+}
+
 TEST_CASE("every truncation and every flipped byte of an envelope is refused or read, never worse") {
   Envelope envelope{Address("10.0.0.1:1"), 5, "store", "lots", "store.write", 9, false, Bytes(40, 'x'),
                     protocol_number};
   const Bytes bytes = to_cbor(envelope);
   for (std::size_t length = 0; length < bytes.size(); ++length)
-    CHECK_FALSE(from_cbor<Envelope>(View(bytes).substr(0, length)));
+    CHECK_FALSE(from_cbor<Envelope>(StringView(bytes).substr(0, length)));
   for (std::size_t at = 0; at < bytes.size(); ++at)
     for (int flip : {0x01, 0x20, 0x80, 0xff}) {
       Bytes bad = bytes;
@@ -78,17 +118,17 @@
   for (const auto& each : cases) {
     auto checked = check_document(each.type, each.name, each.text, view);
     INFO(each.text);
-    REQUIRE(fault_of(checked) != nullptr);
-    CHECK(fault_of(checked)->field == each.field);
-    CHECK_FALSE(fault_of(checked)->remedy.empty());
+    REQUIRE(error_of(checked) != nullptr);
+    CHECK(error_of(checked)->field == each.field);
+    CHECK_FALSE(error_of(checked)->remedy.empty());
   }
-  CHECK(fault_of(check_document("lane", "a", R"({"path":"/a","kind":"model"})", view)) == nullptr);
-  CHECK(fault_of(check_document("lane", "a", R"({"path":"/a","kind":"model"})", empty)) != nullptr);
-  CHECK(fault_of(check_document("teapot", "a", "{}", view))->kind == FaultKind::unknown_name);
-  CHECK(fault_of(read_lot(R"({"lane":"a","items":[1],"due":5})"))->field == "due");
-  CHECK(fault_of(read_lot(R"({"lane":"a"})"))->field == "items");
+  CHECK(error_of(check_document("lane", "a", R"({"path":"/a","kind":"model"})", view)) == nullptr);
+  CHECK(error_of(check_document("lane", "a", R"({"path":"/a","kind":"model"})", empty)) != nullptr);
+  CHECK(error_of(check_document("teapot", "a", "{}", view))->kind == ErrorKind::unknown_name);
+  CHECK(error_of(read_lot(R"({"lane":"a","items":[1],"due":5})"))->field == "due");
+  CHECK(error_of(read_lot(R"({"lane":"a"})"))->field == "items");
   std::string deep(100, '[');
-  CHECK(fault_of(parse_json(deep)) != nullptr);
+  CHECK(error_of(parse_json(deep)) != nullptr);
 }
 
 TEST_CASE("the last zone that has runners can't be evacuated, and a kind in use can't be removed") {
@@ -97,42 +137,42 @@
               lane = R"({"path":"/a","kind":"model"})";
   REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
   REQUIRE(put_in_view(view, "runner/one", &runner, Stamp{}));
-  CHECK(fault_of(check_document("zone", "north", R"({"evacuated":true})", view))->kind == FaultKind::conflict);
-  CHECK(fault_of(check_document("zone", "south", R"({"evacuated":true})", view)) == nullptr);
-  CHECK(fault_of(check_removal("kind", "model", view))->kind == FaultKind::conflict);
+  CHECK(error_of(check_document("zone", "north", R"({"evacuated":true})", view))->kind == ErrorKind::conflict);
+  CHECK(error_of(check_document("zone", "south", R"({"evacuated":true})", view)) == nullptr);
+  CHECK(error_of(check_removal("kind", "model", view))->kind == ErrorKind::conflict);
   REQUIRE(put_in_view(view, "lane/a", &lane, Stamp{}));
   REQUIRE(put_in_view(view, "runner/one", nullptr, Stamp{}));
-  CHECK(fault_of(check_removal("kind", "model", view))->message.find("lane 'a'") != std::string::npos);
+  CHECK(error_of(check_removal("kind", "model", view))->message.find("lane 'a'") != std::string::npos);
 }
 
 TEST_CASE("a holder is not retired where fewer than three seats would remain") {
   ConfigurationView view;
   for (const char* address : {"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-    view.roster.seats.push_back(Seat{HolderId(address), Address(address), ZoneId("h")});
-  CHECK(fault_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view))->kind == FaultKind::conflict);
-  CHECK(fault_of(check_document("holder", "10.0.0.9:1", R"({"retired":true})", view)) == nullptr);
-  view.roster.seats.push_back(Seat{HolderId("x"), Address("10.0.0.4:1"), ZoneId("h")});
-  CHECK(fault_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view)) == nullptr);
+    view.roster.seats.push_back(Voter{StorageNodeId(address), Address(address), ZoneId("h")});
+  CHECK(error_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view))->kind == ErrorKind::conflict);
+  CHECK(error_of(check_document("holder", "10.0.0.9:1", R"({"retired":true})", view)) == nullptr);
+  view.roster.seats.push_back(Voter{StorageNodeId("x"), Address("10.0.0.4:1"), ZoneId("h")});
+  CHECK(error_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view)) == nullptr);
   const Bytes retired = R"({"retired":true})";
   REQUIRE(put_in_view(view, "holder/10.0.0.4:1", &retired, Stamp{}));
-  CHECK(fault_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view)) != nullptr);
+  CHECK(error_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view)) != nullptr);
 }
 
 TEST_CASE("a seat that is joining owns a slot only where no other seat can") {
   Roster roster{Version{3}, {}};
   Members members;
   for (const char* name : {"a", "b", "c"}) {
-    roster.seats.push_back(Seat{HolderId(name), Address(name), ZoneId("h")});
-    members.all[Address(name)].holder = HolderId(name);
+    roster.seats.push_back(Voter{StorageNodeId(name), Address(name), ZoneId("h")});
+    members.all[Address(name)].holder = StorageNodeId(name);
   }
   roster.seats[1].joining = true;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
-    CHECK(slot_order(roster, slot).back()->holder == HolderId("b"));
-    CHECK(slot_owner(roster, members, slot)->holder != HolderId("b"));
+    CHECK(slot_order(roster, slot).back()->holder == StorageNodeId("b"));
+    CHECK(slot_owner(roster, members, slot)->holder != StorageNodeId("b"));
   }
   members.all.erase(Address("a"));
   members.all.erase(Address("c"));
-  CHECK(slot_owner(roster, members, 0)->holder == HolderId("b"));
+  CHECK(slot_owner(roster, members, 0)->holder == StorageNodeId("b"));
 }
 
 TEST_CASE("a path leads to the lane with the longest matching path") {
@@ -157,9 +197,9 @@
   REQUIRE(put_in_view(view, "runner/one", &spec, Stamp{}));
   const auto back =
       check_document("runner", "one", R"({"kind":"model","address":"10.0.0.1:80","zone":"h","generation":3})", view);
-  REQUIRE(fault_of(back) != nullptr);
-  CHECK(fault_of(back)->field == "generation");
-  CHECK(fault_of(check_document("runner", "one", spec, view)) == nullptr);
+  REQUIRE(error_of(back) != nullptr);
+  CHECK(error_of(back)->field == "generation");
+  CHECK(error_of(check_document("runner", "one", spec, view)) == nullptr);
   Circle circle;
   circle.members = circle.warm = {RunnerId("one")};
   CHECK(circle.bears("one", 0));
@@ -189,16 +229,16 @@
   const Bytes kind = "{}", lane = R"({"path":"/pay","kind":"model"})", aim = R"({"lane":"pay"})";
   REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
   REQUIRE(put_in_view(view, "lane/pay", &lane, Stamp{}));
-  for (const auto& [text, field] : {std::pair<View, View>{R"({"lane":"none"})", "lane"},
+  for (const auto& [text, field] : {std::pair<StringView, StringView>{R"({"lane":"none"})", "lane"},
                                     {R"({"lane":"pay","answered":1.1})", "answered"},
                                     {R"({"lane":"pay","in_time":0})", "in_time"},
                                     {R"({"lane":"pay","first_piece":0})", "first_piece"}}) {
     const auto checked = check_document("aim", "swift", text, view);
-    REQUIRE(fault_of(checked) != nullptr);
-    CHECK(fault_of(checked)->field == field);
+    REQUIRE(error_of(checked) != nullptr);
+    CHECK(error_of(checked)->field == field);
   }
-  CHECK(fault_of(check_document("aim", "swift", aim, view)) == nullptr);
-  CHECK(fault_of(check_removal("lane", "pay", view)) == nullptr);
+  CHECK(error_of(check_document("aim", "swift", aim, view)) == nullptr);
+  CHECK(error_of(check_removal("lane", "pay", view)) == nullptr);
   REQUIRE(put_in_view(view, "aim/swift", &aim, Stamp{}));
-  CHECK(fault_of(check_removal("lane", "pay", view)) != nullptr);
+  CHECK(error_of(check_removal("lane", "pay", view)) != nullptr);
 }
--- a/tests/dialect_router_test.cpp
+++ b/tests/dialect_router_test.cpp
@@ -179,7 +179,7 @@
   EXPECT_ATTEMPTS(fixture, 2);
   fixture.say("/stream", {{"Budget", "1500"}});
   fixture.wait(std::chrono::milliseconds(700));
-  fixture.attempts[0].watcher->on_end(AttemptEnd::broken);
+  fixture.attempts[0].watcher->on_end(AttemptOutcome::broken);
   REQUIRE(fixture.attempts.size() == 2);
   CHECK((fixture.told(0, "Left") == "1500" && fixture.told(1, "Left") == "800"));
 }
@@ -342,7 +342,7 @@
   CHECK((waited->status == 503 && waited->outcome == "refused" && !waited->retry_after.empty()));
   CHECK((late->status == 503 && late->outcome == "refused"));
   CHECK_FALSE(begun->broken);
-  fixture.attempts[0].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
   CHECK((begun->status == 200 && begun->ended));
 }
 
@@ -378,15 +378,15 @@
   auto waits = fixture.say("/stream", {});
   fixture.attempts[0].watcher->on_head(200, {});
   for (int count = 1; count < 6; ++count) {
-    fixture.attempts[0].watcher->on_piece("id: " + std::to_string(count) + "\ndata: a\n\n");
+    fixture.attempts[0].watcher->on_chunk("id: " + std::to_string(count) + "\ndata: a\n\n");
     fixture.wait(std::chrono::milliseconds(400));
   }
   CHECK((once->text.size() > 50 && waits->status == 0));
   fixture.attempts[1].watcher->on_head(200, {});
-  fixture.attempts[1].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[1].watcher->on_end(AttemptOutcome::whole);
   fixture.wait(std::chrono::milliseconds(2000));
   CHECK_FALSE(once->broken);
-  fixture.attempts[0].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
   CHECK(once->ended);
 }
 
--- a/tests/events_test.cpp
+++ b/tests/events_test.cpp
@@ -13,7 +13,7 @@
     reader.begin(std::nullopt);
     Bytes out;
     for (std::size_t from = 0; from < text.size(); from += step) {
-      REQUIRE(reader.take(View(text).substr(from, step), out));
+      REQUIRE(reader.take(StringView(text).substr(from, step), out));
       CHECK((out.empty() || out.ends_with("\n\n") || out.ends_with("\n\r\n")));
     }
     CHECK(out == text);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -3,42 +3,42 @@
 #include <boost/asio/write.hpp>
 #include <catch2/catch.hpp>
 
-#include "host/beast_exchange.hpp"
+#include "host/beast_runner_client.hpp"
 
 using namespace mothwalk;
 using boost::asio::ip::tcp;
 
 namespace {
 
-struct Outcome : AttemptWatcher {
+struct Outcome : AttemptObserver {
   int status = 0;
   std::string text;
-  std::optional<AttemptEnd> end;
+  std::optional<AttemptOutcome> end;
   std::size_t pieces = 0, pauses = 0;
   std::function<void()> headed;
   void on_head(int given, const std::vector<Header>&) override {
     status = given;
     if (headed) headed();
   }
-  void on_piece(View piece) override {
+  void on_chunk(StringView piece) override {
     ++pieces;
     text.append(piece);
   }
   void on_pause() override { ++pauses; }
-  void on_end(AttemptEnd given) override { end = given; }
+  void on_end(AttemptOutcome given) override { end = given; }
 };
 
 struct Fixture {
   boost::asio::io_context context;
   tcp::acceptor acceptor{context, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0)};
   // The exchange's clock: the process is suspended for a while at the given look at it.
-  Span suspended{};
+  Duration suspended{};
   int looks_until_suspension = -1;
-  BeastExchange exchange{context, [this] {
-                           if (looks_until_suspension >= 0 && looks_until_suspension-- == 0)
-                             suspended += std::chrono::seconds(10);
-                           return steady_now() + suspended;
-                         }};
+  BeastRunnerClient exchange{context, [this] {
+                               if (looks_until_suspension >= 0 && looks_until_suspension-- == 0)
+                                 suspended += std::chrono::seconds(10);
+                               return steady_now() + suspended;
+                             }};
   std::vector<std::unique_ptr<tcp::socket>> connections;
   std::string next_head = "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\n";
 
@@ -61,7 +61,7 @@
     made.repeatable = repeatable;
     return made;
   }
-  std::shared_ptr<Outcome> start(const AttemptRequest& given, Exchange::Id* id = nullptr) {
+  std::shared_ptr<Outcome> start(const AttemptRequest& given, RunnerClient::Id* id = nullptr) {
     auto outcome = std::make_shared<Outcome>();
     const auto number = exchange.start(given, outcome);
     if (id != nullptr) *id = number;
@@ -90,7 +90,7 @@
     received(socket);
     say(socket, next_head + "Content-Length: 2\r\n\r\nok");
     run([&] { return outcome->end.has_value(); });
-    REQUIRE((outcome->end == AttemptEnd::whole && outcome->text == "ok"));
+    REQUIRE((outcome->end == AttemptOutcome::whole && outcome->text == "ok"));
     return socket;
   }
 };
@@ -105,7 +105,7 @@
   CHECK(text.find("Host: callers.example\r\n") != std::string::npos);
   fixture.say(socket, "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n");
   fixture.run([&] { return outcome->end.has_value(); });
-  CHECK((outcome->status == 404 && outcome->end == AttemptEnd::whole));
+  CHECK((outcome->status == 404 && outcome->end == AttemptOutcome::whole));
   CHECK((fixture.exchange.counts().opened == 1 && fixture.exchange.counts().reused == 1));
   auto other = fixture.start(fixture.request(false, "two"));
   fixture.received(fixture.accepted());
@@ -122,7 +122,7 @@
     fixture.received(fresh);
     fixture.say(fresh, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     fixture.run([&] { return outcome->end.has_value(); });
-    CHECK(outcome->end == AttemptEnd::whole);
+    CHECK(outcome->end == AttemptOutcome::whole);
   }
 }
 
@@ -139,7 +139,7 @@
       fixture.say(fresh, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
     fixture.run([&] { return outcome->end.has_value(); });
-    CHECK(outcome->end == (repeatable ? AttemptEnd::whole : AttemptEnd::broken));
+    CHECK(outcome->end == (repeatable ? AttemptOutcome::whole : AttemptOutcome::broken));
     CHECK(fixture.exchange.counts().opened == (repeatable ? 2 : 1));
   }
 }
@@ -152,7 +152,7 @@
   fixture.acceptor.close();
   socket.close();
   fixture.run([&] { return outcome->end.has_value(); });
-  CHECK(outcome->end == AttemptEnd::broken);
+  CHECK(outcome->end == AttemptOutcome::broken);
 }
 
 TEST_CASE("bytes after a whole answer, at once or late, are given to no later request") {
@@ -203,7 +203,7 @@
     socket.set_option(boost::asio::socket_base::linger(true, 0));
     socket.close();
     fixture.run([&] { return outcome->end.has_value(); });
-    CHECK(outcome->end == AttemptEnd::broken);
+    CHECK(outcome->end == AttemptOutcome::broken);
   }
 }
 
@@ -215,7 +215,7 @@
   fixture.say(socket, "HTTP/1.1 200 OK\r\n\r\nto the end");
   socket.close();
   fixture.run([&] { return outcome->end.has_value(); });
-  CHECK((outcome->end == AttemptEnd::whole && outcome->status == 200 && outcome->text == "to the end"));
+  CHECK((outcome->end == AttemptOutcome::whole && outcome->status == 200 && outcome->text == "to the end"));
   fixture.start(fixture.request());
   fixture.received(fixture.accepted());
   CHECK((fixture.exchange.counts().opened == 2 && fixture.exchange.counts().reused == 0));
@@ -229,7 +229,7 @@
   tcp::socket& socket = fixture.accepted();
   fixture.say(socket, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok");
   fixture.run([&] { return outcome->end.has_value(); });
-  CHECK((outcome->end == AttemptEnd::whole && outcome->text == "ok"));
+  CHECK((outcome->end == AttemptOutcome::whole && outcome->text == "ok"));
   auto second = fixture.start(fixture.request());
   fixture.received(fixture.accepted());
   CHECK(fixture.exchange.counts().opened == 2);
@@ -254,7 +254,7 @@
     auto outcome = fixture.start(fixture.request(true));
     if (!kept) socket = &fixture.accepted();
     fixture.run([&] { return outcome->end.has_value(); });
-    CHECK(outcome->end == AttemptEnd::not_sent);
+    CHECK(outcome->end == AttemptOutcome::not_sent);
     CHECK(fixture.looks_until_suspension == -1);
     std::string buffer(100, '\0');
     boost::system::error_code error;
@@ -271,7 +271,7 @@
     auto outcome = fixture.start(fixture.request(true));
     if (!kept) socket = &fixture.accepted();
     fixture.run([&] { return outcome->end.has_value(); });
-    CHECK(outcome->end == AttemptEnd::broken);
+    CHECK(outcome->end == AttemptOutcome::broken);
     CHECK(fixture.exchange.counts().opened == 1);
     std::string buffer(1000, '\0');
     boost::system::error_code error;
@@ -288,7 +288,7 @@
   fixture.suspended += std::chrono::seconds(5);
   socket.close();
   fixture.run([&] { return outcome->end.has_value(); });
-  CHECK(outcome->end == AttemptEnd::broken);
+  CHECK(outcome->end == AttemptOutcome::broken);
   CHECK(fixture.exchange.counts().opened == 1);
 }
 
@@ -298,19 +298,19 @@
   fixture.acceptor.close();
   auto refused = fixture.start(request);
   fixture.run([&] { return refused->end.has_value(); });
-  CHECK(refused->end == AttemptEnd::not_sent);
+  CHECK(refused->end == AttemptOutcome::not_sent);
   Fixture silent;
   AttemptRequest brief = silent.request();
   brief.first_piece = std::chrono::milliseconds(30);
   auto late = silent.start(brief);
   silent.received(silent.accepted());
   silent.run([&] { return late->end.has_value(); });
-  CHECK(late->end == AttemptEnd::late);
+  CHECK(late->end == AttemptOutcome::late);
 }
 
 TEST_CASE("what came in one read is given as one piece, then a pause; a cancelled attempt hears nothing more") {
   Fixture fixture;
-  Exchange::Id id = 0;
+  RunnerClient::Id id = 0;
   auto outcome = fixture.start(fixture.request(), &id);
   tcp::socket& socket = fixture.accepted();
   fixture.received(socket);
@@ -325,7 +325,7 @@
 
 TEST_CASE("a held attempt is not read until it is let go") {
   Fixture fixture;
-  Exchange::Id id = 0;
+  RunnerClient::Id id = 0;
   auto outcome = fixture.start(fixture.request(), &id);
   outcome->headed = [&] {
     fixture.exchange.hold(id, true);
@@ -339,5 +339,5 @@
   CHECK(outcome->text.empty());
   fixture.exchange.hold(id, false);
   fixture.run([&] { return outcome->end.has_value(); });
-  CHECK((outcome->text == "eight by" && outcome->end == AttemptEnd::whole));
+  CHECK((outcome->text == "eight by" && outcome->end == AttemptOutcome::whole));
 }
--- a/tests/foreign_peers_test.cpp
+++ b/tests/foreign_peers_test.cpp
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 
 namespace {
-class Catcher : public Wire {
+class Catcher : public Transport {
  public:
   void send(const Address&, Envelope envelope) override { sent.push_back(std::move(envelope)); }
   std::vector<Envelope> sent;
@@ -28,9 +28,9 @@
   std::vector<std::string> heard;
 
   explicit Asking(std::uint64_t incarnation) : messenger(wire, timers, self, incarnation, "news") {
-    messenger.ask(peer, Compare{}, seconds(1), [this](Result<CompareReply> result) {
-      const auto* fault = fault_of(result);
-      heard.push_back(fault == nullptr ? "answer" : fault->field);
+    messenger.request(peer, Compare{}, seconds(1), [this](Result<CompareReply> result) {
+      const auto* error = error_of(result);
+      heard.push_back(error == nullptr ? "answer" : error->field);
     });
   }
   Envelope reply(const Address& from) const {
@@ -77,12 +77,12 @@
   Member member;
   member.address = self;
   ReplicatedStore store(messenger, shared_state, disk, world.random, member, {}, ReplicatedStore::Report{});
-  REQUIRE(fault_of(store.load()) == nullptr);
+  REQUIRE(error_of(store.load()) == nullptr);
   store.start();
   world.run_until(world.now() + milliseconds(10));
   const std::size_t size = disk.size();
-  const Roster roster{Version{9}, {Seat{store.identity(), self, ZoneId("h")}}};
-  auto send = [&](View kind, const Bytes& body, std::uint64_t call, std::uint32_t protocol) {
+  const Roster roster{Version{9}, {Voter{store.identity(), self, ZoneId("h")}}};
+  auto send = [&](StringView kind, const Bytes& body, std::uint64_t call, std::uint32_t protocol) {
     Envelope envelope;
     envelope.from = peer;
     envelope.slice = envelope.sender = "store";
@@ -93,17 +93,17 @@
     messenger.take(std::move(envelope));
     world.run_until(world.now() + milliseconds(10));
   };
-  RosterNews news;
+  RosterUpdate news;
   news.roster = roster;
   Promise promise;
   promise.target = store.identity();
-  promise.owner = HolderId("theirs");
+  promise.owner = StorageNodeId("theirs");
   promise.slot = 3;
   promise.epoch = Epoch{7};
   promise.roster = roster;
   for (const std::uint32_t protocol : {0u, protocol_number - 1, protocol_number + 1, 0xffffffffu}) {
     wire.sent.clear();
-    send(RosterNews::kind, to_cbor(news), 0, protocol);
+    send(RosterUpdate::kind, to_cbor(news), 0, protocol);
     send(Promise::kind, to_cbor(promise), 8, protocol);
     CHECK(disk.size() == size);
     CHECK(shared_state.control_seats.get()->empty());
@@ -112,12 +112,12 @@
       if (!envelope.reply) continue;
       ++refusals;
       CHECK((envelope.kind == "fault" && envelope.call == 8));
-      CHECK(from_cbor<WireFault>(envelope.body)->field == "protocol");
+      CHECK(from_cbor<WireError>(envelope.body)->field == "protocol");
     }
     CHECK(refusals == 1);
   }
   // The same in the protocol of this daemon is taken.
-  send(RosterNews::kind, to_cbor(news), 0, protocol_number);
+  send(RosterUpdate::kind, to_cbor(news), 0, protocol_number);
   CHECK(disk.size() > size);
 }
 
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 
 namespace {
-class Catcher : public Wire {
+class Catcher : public Transport {
  public:
   void send(const Address&, Envelope envelope) override { last = std::move(envelope); }
   Envelope last;
@@ -34,13 +34,13 @@
   }
 };
 
-Seat seat(const std::string& holder, const std::string& address) {
-  return Seat{HolderId(holder), Address(address), ZoneId("h")};
+Voter seat(const std::string& holder, const std::string& address) {
+  return Voter{StorageNodeId(holder), Address(address), ZoneId("h")};
 }
 
 // Every distinct roster of version 1 that any machine's news or folder has shown.
-std::set<std::vector<Seat>> founded(SimulatedCluster& cluster) {
-  std::set<std::vector<Seat>> rosters;
+std::set<std::vector<Voter>> founded(SimulatedCluster& cluster) {
+  std::set<std::vector<Voter>> rosters;
   for (auto& machine : cluster.machines)
     if (machine->alive())
       if (const Roster& roster = machine->shared_state().configuration.get()->roster; roster.version == Version{1})
@@ -80,9 +80,9 @@
     World world(number);
     SimulatedCluster cluster(world, shape_named("platform", 1.0));
     cluster.start();
-    world.run_until(Moment{} + seconds(3));
+    world.run_until(TimePoint{} + seconds(3));
     CHECK(founded(cluster).size() == 1);
-    world.run_until(Moment{} + seconds(7));
+    world.run_until(TimePoint{} + seconds(7));
     const auto configuration = cluster.any_alive().shared_state().configuration.get();
     CHECK(configuration->roster.seats.size() == 4);
     CHECK(configuration->lot_roster.seats.size() == 4);
@@ -120,7 +120,7 @@
           });
         }
     };
-    std::set<std::vector<Seat>> seen;
+    std::set<std::vector<Voter>> seen;
     for (int step = 0; step < 100; ++step) {
       world.run_until(world.now() + milliseconds(100));
       for (const auto& roster : founded(cluster)) seen.insert(roster);
@@ -139,7 +139,7 @@
   cluster.start();
   for (auto& machine : cluster.machines) machine->kill(true);
   for (auto& machine : cluster.machines) machine->start();
-  world.run_until(Moment{} + seconds(10));
+  world.run_until(TimePoint{} + seconds(10));
   CHECK_FALSE(cluster.ready());
   for (auto& machine : cluster.machines) CHECK(machine->shared_state().configuration.get()->roster.seats.empty());
 }
@@ -150,20 +150,20 @@
       World world(200 + number);
       SimulatedCluster cluster(world, shape_named("platform", 1.0));
       cluster.start();
-      world.run_until(Moment{} + seconds(8));
+      world.run_until(TimePoint{} + seconds(8));
       Machine& machine = *cluster.machines[(lots ? 9 : 0) + number % 4];
       auto seats = [&] {
         const auto configuration = cluster.machines[4]->shared_state().configuration.get();
         return lots ? configuration->lot_roster : configuration->roster;
       };
-      const HolderId before = machine.kept()->identity();
+      const StorageNodeId before = machine.kept()->identity();
       REQUIRE(seats().seated(before));
       machine.kill(true);
       const bool elsewhere = number % 2 == 0;
       world.run_until(world.now() + seconds(2));
       Machine& back = elsewhere ? cluster.add_machine("north", machine.keeps) : machine;
       back.start();
-      const Moment returned = world.now();
+      const TimePoint returned = world.now();
       while ((seats().seated(before) || !seats().seated(back.kept()->identity())) &&
              world.now() - returned < seconds(10))
         world.run_until(world.now() + milliseconds(50));
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <thread>
 
-#include "host/beast_exchange.hpp"
+#include "host/beast_runner_client.hpp"
 #include "host/front.hpp"
 
 using namespace mothwalk;
@@ -15,7 +15,7 @@
 
 namespace {
 
-class SilentWire : public Wire {
+class SilentWire : public Transport {
  public:
   void send(const Address&, Envelope) override {}
 };
@@ -29,7 +29,7 @@
   SilentWire wire;
   Messenger messenger{wire, timers, Address("127.0.0.1:1"), 1, "routes"};
   SharedState shared_state;
-  BeastExchange exchange{context};
+  BeastRunnerClient exchange{context};
   Router router{messenger, shared_state, exchange, random, Member{}};
   std::vector<ControlRequest> controls;
   ControlReply reply{200, json::object{{"good", true}}};
@@ -50,7 +50,7 @@
     tcp::acceptor probe(context, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
     callers = probe.local_endpoint();
     probe.close();
-    REQUIRE(fault_of(front.listen(Address("127.0.0.1:" + std::to_string(callers.port())), true)) == nullptr);
+    REQUIRE(error_of(front.listen(Address("127.0.0.1:" + std::to_string(callers.port())), true)) == nullptr);
     put("kind/model", R"({"overcommit":100})");
     put("lane/pay", R"({"path":"/","kind":"model"})");
     put("runner/one", R"({"kind":"model","address":"127.0.0.1:)" + std::to_string(runner.local_endpoint().port()) +
@@ -297,7 +297,7 @@
 }
 
 TEST_CASE("the host's rule says which of the callers' requests control answers, with its own headers and body") {
-  Fixture fixture([](View method, View target, const std::vector<Header>& headers) {
+  Fixture fixture([](StringView method, StringView target, const std::vector<Header>& headers) {
     return method == "POST" && target.starts_with("/bulk/") && header_of(headers, "Host") != nullptr;
   });
   fixture.reply.headers = {{"Content-Type", "text/plain"}, {"Retry-After", "0.25"}};
@@ -321,7 +321,7 @@
   tcp::acceptor probe(fixture.context, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   const tcp::endpoint operators = probe.local_endpoint();
   probe.close();
-  REQUIRE(fault_of(fixture.front.listen(Address("127.0.0.1:" + std::to_string(operators.port())), false)) == nullptr);
+  REQUIRE(error_of(fixture.front.listen(Address("127.0.0.1:" + std::to_string(operators.port())), false)) == nullptr);
   const std::string order = "POST /order HTTP/1.1\r\nHost: here\r\nContent-Length: 2\r\n\r\n{}";
   tcp::socket left(fixture.context), waits(fixture.context);
   left.connect(operators);
--- a/tests/fuzz/entry.hpp
+++ b/tests/fuzz/entry.hpp
@@ -3,6 +3,6 @@
 #include "fuzz.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  mothwalk::fuzz::run(mothwalk::View(reinterpret_cast<const char*>(data), size));
+  mothwalk::fuzz::run(mothwalk::StringView(reinterpret_cast<const char*>(data), size));
   return 0;
 }
--- a/tests/fuzz/events.cpp
+++ b/tests/fuzz/events.cpp
@@ -12,7 +12,7 @@
   std::optional<std::uint64_t> last;
 };
 
-Outcome read(View stream, std::size_t piece, std::optional<std::uint64_t> after) {
+Outcome read(StringView stream, std::size_t piece, std::optional<std::uint64_t> after) {
   EventReader reader;
   reader.begin(after);
   Outcome outcome;
@@ -25,12 +25,12 @@
 }
 }  // namespace
 
-void run(View bytes) {
+void run(StringView bytes) {
   Input input(bytes);
   const std::uint8_t start = input.byte();
   const std::size_t piece = 1 + input.byte() % 32;
   const auto after = start == 0 ? std::nullopt : std::optional<std::uint64_t>(start);
-  const View stream = input.rest();
+  const StringView stream = input.rest();
   const Outcome whole = read(stream, std::max<std::size_t>(1, stream.size()), after);
   const Outcome pieces = read(stream, piece, after);
   expect(whole.good == pieces.good, "pieces are refused as the whole is");
--- a/tests/fuzz/fuzz.hpp
+++ b/tests/fuzz/fuzz.hpp
@@ -18,29 +18,29 @@
 // Takes bytes off the front of an input; an input that has no more gives zeros and empty views.
 class Input {
  public:
-  explicit Input(View bytes) : bytes_(bytes) {}
+  explicit Input(StringView bytes) : bytes_(bytes) {}
   bool empty() const { return bytes_.empty(); }
   std::size_t size() const { return bytes_.size(); }
   std::uint8_t byte() {
-    const View one = take(1);
+    const StringView one = take(1);
     return one.empty() ? std::uint8_t{0} : static_cast<std::uint8_t>(one[0]);
   }
   std::uint16_t word() {
     const unsigned high = byte();
     return static_cast<std::uint16_t>(high << 8 | byte());
   }
-  View take(std::size_t count) {
-    const View taken = bytes_.substr(0, count);
+  StringView take(std::size_t count) {
+    const StringView taken = bytes_.substr(0, count);
     bytes_.remove_prefix(taken.size());
     return taken;
   }
-  View rest() { return take(bytes_.size()); }
+  StringView rest() { return take(bytes_.size()); }
 
  private:
-  View bytes_;
+  StringView bytes_;
 };
 
 // One input; defined by each target.
-void run(View bytes);
+void run(StringView bytes);
 
 }  // namespace mothwalk::fuzz
--- a/tests/fuzz/http.cpp
+++ b/tests/fuzz/http.cpp
@@ -23,7 +23,7 @@
 
 // Reads as the connections do: what the reader does not take is given again with what comes next.
 template <bool is_request>
-Outcome read(View bytes, std::size_t piece) {
+Outcome read(StringView bytes, std::size_t piece) {
   HttpReader<is_request> reader;
   reader.header_limit(header_limit);
   reader.body_limit(body_limit);
@@ -53,7 +53,7 @@
 }
 
 template <bool is_request>
-Outcome read_both_ways(View bytes, std::size_t piece) {
+Outcome read_both_ways(StringView bytes, std::size_t piece) {
   const Outcome whole = read<is_request>(bytes, std::max<std::size_t>(1, bytes.size()));
   const Outcome pieces = read<is_request>(bytes, piece);
   if (!whole.done) return whole;
@@ -68,10 +68,10 @@
 
 void read_facts(const std::vector<Header>& headers) {
   const platform::PlatformDialect dialect;
-  const RequestFacts facts = dialect.read_request(headers);
+  const RequestInfo facts = dialect.read_request(headers);
   AttemptRequest request;
   request.headers = headers;
-  AttemptFacts attempt;
+  AttemptInfo attempt;
   attempt.runner = "r";
   attempt.left = std::chrono::seconds(1);
   dialect.write_attempt(request, facts, attempt);
@@ -80,15 +80,15 @@
 }
 }  // namespace
 
-void run(View bytes) {
+void run(StringView bytes) {
   Input input(bytes);
   const std::size_t piece = 1 + input.byte() % 64;
   const bool is_request = input.byte() % 2 == 0;
-  const View message = input.rest();
+  const StringView message = input.rest();
   const Outcome outcome = is_request ? read_both_ways<true>(message, piece) : read_both_ways<false>(message, piece);
   if (!outcome.headed) return;
   if (is_request) return read_facts(outcome.headers);
-  platform::PlatformDialect().read_answer(outcome.status, outcome.headers, RequestFacts{});
+  platform::PlatformDialect().read_answer(outcome.status, outcome.headers, RequestInfo{});
   EventReader events;
   Bytes out;
   events.begin(std::nullopt);
--- a/tests/fuzz/make_corpus.cpp
+++ b/tests/fuzz/make_corpus.cpp
@@ -16,11 +16,11 @@
 void fill(T& value) {
   if constexpr (std::is_same_v<T, std::string>)
     value = "lane/audits";
-  else if constexpr (is_name<T>::value)
+  else if constexpr (is_strong_string<T>::value)
     value = T("10.0.0.1:7000");
-  else if constexpr (is_number<T>::value)
+  else if constexpr (is_strong_integer<T>::value)
     value.value = 3;
-  else if constexpr (std::is_same_v<T, Span>)
+  else if constexpr (std::is_same_v<T, Duration>)
     value = std::chrono::milliseconds(500);
   else if constexpr (std::is_arithmetic_v<T>)
     value = static_cast<T>(1);
@@ -31,7 +31,7 @@
   else if constexpr (is_map<T>::value)
     fill(value["model"]);
   else
-    value.fields([](View, auto& field) { fill(field); });
+    value.fields([](StringView, auto& field) { fill(field); });
 }
 
 template <class T>
--- a/tests/fuzz/peer_frames.cpp
+++ b/tests/fuzz/peer_frames.cpp
@@ -1,17 +1,17 @@
 // Frames of peers: the claim of a length, and the envelope. What can be read is written and read again unchanged.
 #include "entry.hpp"
-#include "host/tcp_wire.hpp"
+#include "host/tcp_transport.hpp"
 
 namespace mothwalk::fuzz {
 
-void run(View bytes) {
+void run(StringView bytes) {
   Input input(bytes);
   while (!input.empty()) {
-    const View head = input.take(frame_head_bytes);
+    const StringView head = input.take(frame_head_bytes);
     if (head.size() < frame_head_bytes) return;
     const auto length = frame_length(head);
     if (!length) return;
-    const View body = input.take(*length);
+    const StringView body = input.take(*length);
     if (body.size() < *length) return;
     const auto envelope = from_cbor<Envelope>(body);
     if (!envelope) return;
