--- a/tests/fuzz/peer_messages.hpp
+++ b/tests/fuzz/peer_messages.hpp
@@ -1,9 +1,9 @@
 // The kinds of messages that daemons send each other, by their place in the inputs of the target peer_messages.
 #pragma once
 #include "circle/circle.hpp"
+#include "gossip/configuration_gossip.hpp"
 #include "listing/listing.hpp"
-#include "lots/placing.hpp"
-#include "news/news.hpp"
+#include "lots/item_placer.hpp"
 #include "replication/messages.hpp"
 #include "routes/router.hpp"
 #include "sessions/sessions.hpp"
@@ -13,11 +13,12 @@
 template <class... Messages>
 struct MessageTypes {};
 
-using PeerMessages = MessageTypes<Beat, Share, Introduction, Spread, Compare, FetchNews, Taken, Write, Read, ListSlot,
-                                  ConfirmSlot, Promise, Store, Copies, Install, Confirm, RosterNews, Who, Found,
-                                  Settled, Retirement, Digests, Range, FetchRecords, SubmitLot, CancelLot, ReadLot,
-                                  ReadItem, ListLots, PendingItems, KindPending, FetchItems, AskHeld, AskSlot, StopLot,
-                                  FinishItems, LoadReport, LoadTotals, PlacerTotals, ReportCandidate, AskWord>;
+using PeerMessages =
+    MessageTypes<Heartbeat, SessionExchange, Introduction, PushUpdates, Compare, FetchUpdates, Taken, Write, Read,
+                 ListSlot, ConfirmSlot, Promise, Store, Copies, Install, Confirm, RosterUpdate, IdentifyRequest,
+                 FoundRoster, SyncStatus, Retirement, Digests, Range, FetchRecords, SubmitLot, CancelLot, ReadLot,
+                 ReadItem, ListLots, PendingItems, KindPending, FetchItems, AskHeld, AskSlot, StopLot, FinishItems,
+                 LoadReport, LoadTotals, PlacerTotals, ReportCandidate, AskWord>;
 
 // What stands before the body of a message in an input: its kind, the machine that takes it, and its length.
 inline constexpr std::size_t message_head_bytes = 4;
--- a/tests/fuzz/record_file.cpp
+++ b/tests/fuzz/record_file.cpp
@@ -24,7 +24,7 @@
   Bytes bytes;
 };
 
-class NoPeers : public Wire {
+class NoPeers : public Transport {
  public:
   void send(const Address&, Envelope) override {}
 };
@@ -37,7 +37,7 @@
 }
 
 // Whether a store takes the file; where it does, it works on it for some seconds.
-bool load_and_run(FileOfBytes& file, HolderId& identity) {
+bool load_and_run(FileOfBytes& file, StorageNodeId& identity) {
   simulate::World world(1);
   const auto life = std::make_shared<simulate::Life>();
   simulate::SimulatedTimers timers(world, life);
@@ -47,7 +47,7 @@
   ReplicatedStore store(messenger, shared_state, file, world.random, holder(), {}, ReplicatedStore::Report{});
   auto loaded = store.load();
   identity = store.identity();
-  if (fault_of(loaded)) return false;
+  if (error_of(loaded)) return false;
   store.start();
   world.run_until(world.now() + std::chrono::seconds(3));
   life->alive = false;
@@ -55,22 +55,22 @@
 }
 }  // namespace
 
-void run(View bytes) {
+void run(StringView bytes) {
   Input input(bytes);
   const bool raw = input.byte() % 2 == 0;
   Bytes file;
   while (!raw && !input.empty()) {
-    const View payload = input.take(input.word());
+    const StringView payload = input.take(input.word());
     file += frame_payload(payload);
   }
   if (raw) file = Bytes(input.rest());
   const ReadFile read = read_frames(file);
   expect(read.sound_bytes <= file.size(), "what is sound is in the file");
   expect(read.torn == (read.sound_bytes < file.size()), "a torn file is one with more than what is sound");
-  const ReadFile sound = read_frames(View(file).substr(0, read.sound_bytes));
+  const ReadFile sound = read_frames(StringView(file).substr(0, read.sound_bytes));
   expect(sound.entries.size() == read.entries.size() && !sound.torn, "what is sound is read again");
   FileOfBytes disk(file);
-  HolderId first, second;
+  StorageNodeId first, second;
   if (!load_and_run(disk, first)) return;
   expect(!first.empty(), "a store has an identity");
   FileOfBytes again(disk.bytes);
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -21,14 +21,14 @@
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
-class NoExchange : public Exchange {
+class NoExchange : public RunnerClient {
  public:
-  Id start(const AttemptRequest&, std::shared_ptr<AttemptWatcher>) override { return 1; }
+  Id start(const AttemptRequest&, std::shared_ptr<AttemptObserver>) override { return 1; }
   void cancel(Id) override {}
   void hold(Id, bool) override {}
 };
 
-class SilentWire : public Wire {
+class SilentWire : public Transport {
  public:
   void send(const Address&, Envelope) override {}
 };
@@ -39,7 +39,7 @@
   std::ofstream(folder.path + "/records") << "old";
   std::ofstream(folder.path + "/records.new") << "half of a rewr";
   FileDisk disk(folder.path, [](Task task) { task(); });
-  REQUIRE(fault_of(disk.open()) == nullptr);
+  REQUIRE(error_of(disk.open()) == nullptr);
   CHECK(std::get<Bytes>(disk.read_all()) == "old");
   int good = 0;
   auto count = [&](bool done) {
@@ -53,7 +53,7 @@
   CHECK(good == 4);
   CHECK(std::get<Bytes>(disk.read_all()) == "fresh and more");
   FileDisk again(folder.path, [](Task task) { task(); });
-  CHECK(fault_of(again.open()) != nullptr);  // the first still holds the folder
+  CHECK(error_of(again.open()) != nullptr);  // the first still holds the folder
 }
 
 TEST_CASE("records that can't be read are a fault, never an empty folder") {
@@ -61,8 +61,8 @@
   std::filesystem::create_directory(folder.path + "/records");
   FileDisk disk(folder.path, [](Task task) { task(); });
   const auto opened = disk.open();
-  REQUIRE(fault_of(opened) != nullptr);
-  CHECK(fault_of(opened)->field == "data_folder");
+  REQUIRE(error_of(opened) != nullptr);
+  CHECK(error_of(opened)->field == "data_folder");
 }
 
 TEST_CASE("a connection over the limit is told when to come back") {
@@ -83,7 +83,7 @@
   boost::asio::ip::tcp::acceptor probe(context, {boost::asio::ip::make_address("127.0.0.1"), 0});
   const auto endpoint = probe.local_endpoint();
   probe.close();
-  REQUIRE(fault_of(front.listen(Address("127.0.0.1:" + std::to_string(endpoint.port())), false)) == nullptr);
+  REQUIRE(error_of(front.listen(Address("127.0.0.1:" + std::to_string(endpoint.port())), false)) == nullptr);
   auto ask = [&](boost::asio::ip::tcp::socket& socket) {
     socket.connect(endpoint);
     boost::asio::write(socket, boost::asio::buffer(std::string("GET /v1/health HTTP/1.1\r\nHost: here\r\n\r\n")));
--- a/tests/log_files_test.cpp
+++ b/tests/log_files_test.cpp
@@ -42,7 +42,7 @@
   RecordLog::Contents contents() {
     RecordLog::Contents contents;
     contents.head = [] {
-      return std::vector<DiskEntry>{DiskEntry{.what = "identity", .holder = HolderId("mine")}};
+      return std::vector<DiskEntry>{DiskEntry{.what = "identity", .holder = StorageNodeId("mine")}};
     };
     contents.slot = [this](std::uint32_t slot) {
       std::vector<DiskEntry> entries;
@@ -60,7 +60,7 @@
   bool open() {
     if (!files_.open()) return true;
     auto file = log.load();
-    REQUIRE(fault_of(file) == nullptr);
+    REQUIRE(error_of(file) == nullptr);
     ReadFile& read = std::get<ReadFile>(file);
     for (const auto& entry : read.entries)
       if (entry.what == "change") numbers.insert(std::stoi(entry.change.key.substr(5)));
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -168,7 +168,7 @@
   CHECK(owner.finish(running[0], "stopped"));
   CHECK(owner.fetch(3).empty());
   CHECK(owner.read("lot").next == 0);
-  CHECK(owner.fault(ReadItem{"lot", "item-1"}) == FaultKind::unknown_name);
+  CHECK(owner.error_kind_of(ReadItem{"lot", "item-1"}) == ErrorKind::unknown_name);
   OwnerFixture next(store, 5);
   CHECK(next.fetch(3).empty());
 }
@@ -178,7 +178,7 @@
   OwnerFixture owner(store, 4);
   owner.good(SubmitLot{"lot", OwnerFixture::batch(3)});
   store.majority = false;
-  CHECK(owner.fault(CancelLot{"lot"}) == FaultKind::unknown);
+  CHECK(owner.error_kind_of(CancelLot{"lot"}) == ErrorKind::unknown);
   store.majority = true;
   CHECK(owner.fetch(3).size() == 3);
 }
@@ -187,26 +187,26 @@
   KeptStore store;
   OwnerFixture owner(store, 4);
   owner.good(SubmitLot{"lot", OwnerFixture::batch(3)});
-  LotHead again = OwnerFixture::batch(3);
+  LotSpecification again = OwnerFixture::batch(3);
   again.completion = seconds(9);  // what the lane promises has changed between the two
   again.revision = 12;
   owner.good(SubmitLot{"lot", again});
   CHECK(owner.fetch(10).size() == 3);
-  CHECK(owner.fault(SubmitLot{"lot", OwnerFixture::batch(2)}) == FaultKind::conflict);
+  CHECK(owner.error_kind_of(SubmitLot{"lot", OwnerFixture::batch(2)}) == ErrorKind::conflict);
 }
 
 TEST_CASE("a write that is unsure is neither a refusal nor an acknowledgement, and another sending settles it") {
   KeptStore store;
   OwnerFixture owner(store, 4);
   store.majority = false;
-  CHECK(owner.fault(SubmitLot{"lot", OwnerFixture::batch(3)}) == FaultKind::unknown);
+  CHECK(owner.error_kind_of(SubmitLot{"lot", OwnerFixture::batch(3)}) == ErrorKind::unknown);
   store.majority = true;
   // The write stood after all: its record is there, and this owner has not heard of it.
   owner.good(SubmitLot{"other", OwnerFixture::batch(1)});
   store.records["lot/lot"] = store.records["lot/other"];
   store.records["lot/lot"].key = "lot/lot";
   store.records["lot/lot"].token = "another";
-  CHECK(owner.fault(SubmitLot{"lot", OwnerFixture::batch(3)}) == FaultKind::unknown);
+  CHECK(owner.error_kind_of(SubmitLot{"lot", OwnerFixture::batch(3)}) == ErrorKind::unknown);
 }
 
 TEST_CASE("a write whose slot goes to another owner meanwhile is unknown") {
@@ -218,7 +218,7 @@
   owner.wait(milliseconds(300));
   REQUIRE(owner.answer_to(number) != nullptr);
   REQUIRE(owner.answer_to(number)->kind == "fault");
-  CHECK(fault_in(*owner.answer_to(number)).kind == FaultKind::unknown);
+  CHECK(error_in(*owner.answer_to(number)).kind == ErrorKind::unknown);
 }
 
 TEST_CASE("a read waits for the result at its position, and no longer than it was told") {
@@ -249,9 +249,9 @@
   const auto items = owner.fetch(2);
   CHECK(owner.good(ReadItem{"lot", "item-1"}).body == Bytes("\x00\xff\n", 3));
   CHECK(owner.finish(items[1], "answer", "text"));
-  CHECK(owner.fault(ReadItem{"lot", "item-1"}) == FaultKind::unknown_name);
-  CHECK(owner.fault(ReadItem{"lot", "item-9"}) == FaultKind::unknown_name);
-  CHECK(owner.fault(ReadItem{"no-lot", "item-0"}) == FaultKind::unknown_name);
+  CHECK(owner.error_kind_of(ReadItem{"lot", "item-1"}) == ErrorKind::unknown_name);
+  CHECK(owner.error_kind_of(ReadItem{"lot", "item-9"}) == ErrorKind::unknown_name);
+  CHECK(owner.error_kind_of(ReadItem{"no-lot", "item-0"}) == ErrorKind::unknown_name);
   OwnerFixture next(store, 5);
   CHECK(next.good(ReadItem{"lot", "item-0"}).body == Bytes("\x00\xff\n", 3));
 }
@@ -334,7 +334,7 @@
 TEST_CASE("lots due earlier go first") {
   KeptStore store;
   OwnerFixture owner(store, 4);
-  LotHead slow = OwnerFixture::batch(2);
+  LotSpecification slow = OwnerFixture::batch(2);
   slow.completion = seconds(19);
   owner.good(SubmitLot{"slow", slow});
   owner.good(SubmitLot{"soon", OwnerFixture::batch(2)});
@@ -368,7 +368,7 @@
 }
 
 TEST_CASE("a refusal after a sending whose outcome is not known refuses nothing") {
-  struct Refusing : Wire {
+  struct Refusing : Transport {
     void send(const Address&, Envelope envelope) override { asked.push_back(std::move(envelope)); }
     std::vector<Envelope> asked;
   };
@@ -385,24 +385,24 @@
     shared_state.configuration.set(view);
     Members members;
     members.all[owner].address = owner;
-    members.all[owner].holder = HolderId("holder");
+    members.all[owner].holder = StorageNodeId("holder");
     shared_state.members.set(members);
     LotCalls calls(messenger, shared_state);
     std::optional<Result<LotStatus>> outcome;
     calls.submit(SubmitLot{"lot", OwnerFixture::batch(1)}, seconds(2),
                  [&](Result<LotStatus> result) { outcome = std::move(result); });
-    auto give = [&](FaultKind kind) {
+    auto give = [&](ErrorKind kind) {
       messenger.take(Envelope{owner, 1, "control", "lots", "fault", wire.asked.back().call, true,
-                              to_cbor(WireFault{static_cast<std::int32_t>(kind), "lots", "no", "again"}),
+                              to_cbor(WireError{static_cast<std::int32_t>(kind), "lots", "no", "again"}),
                               protocol_number});
       world.run_until(world.now() + milliseconds(150));
     };
     REQUIRE(wire.asked.size() == 1);
-    if (unsure_before) give(FaultKind::unknown);
+    if (unsure_before) give(ErrorKind::unknown);
     REQUIRE(wire.asked.size() == (unsure_before ? 2u : 1u));
-    give(FaultKind::refused);
+    give(ErrorKind::refused);
     REQUIRE(outcome);
-    REQUIRE(fault_of(*outcome) != nullptr);
-    CHECK(fault_of(*outcome)->kind == (unsure_before ? FaultKind::unknown : FaultKind::refused));
+    REQUIRE(error_of(*outcome) != nullptr);
+    CHECK(error_of(*outcome)->kind == (unsure_before ? ErrorKind::unknown : ErrorKind::refused));
   }
 }
--- a/tests/lot_starts_test.cpp
+++ b/tests/lot_starts_test.cpp
@@ -14,8 +14,8 @@
   explicit SmallMemory(KeptStore& kept) : OwnerFixture(kept, 4) {
     put("kind/model", R"({"engine":{"memory_tokens":100}})");
   }
-  static LotHead batch_of(std::size_t count, std::uint32_t tokens) {
-    LotHead head = batch(count);
+  static LotSpecification batch_of(std::size_t count, std::uint32_t tokens) {
+    LotSpecification head = batch(count);
     for (auto& item : head.items) item.tokens = tokens;
     head.completion = seconds(19);
     return head;
@@ -53,7 +53,7 @@
 TEST_CASE("an item larger than a runner's memory keeps none of its own lot's either, and is given up in time alone") {
   KeptStore store;
   SmallMemory owner(store);
-  LotHead mixed = SmallMemory::batch_of(4, 10);
+  LotSpecification mixed = SmallMemory::batch_of(4, 10);
   mixed.items[0].tokens = mixed.items[2].tokens = memory_tokens + 1;
   owner.good(SubmitLot{"lot", mixed});
   const auto items = owner.fetch(1);
@@ -86,7 +86,7 @@
 TEST_CASE("an item that does not fit into what a runner has left is passed over, and goes where there is more") {
   KeptStore store;
   SmallMemory owner(store);
-  LotHead head = SmallMemory::batch_of(3, 10);
+  LotSpecification head = SmallMemory::batch_of(3, 10);
   head.items[0].tokens = 60;
   owner.good(SubmitLot{"lot", head});
   const ItemsReply some = owner.good(FetchItems{"model", "model-1", 8, 1, 15});
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -2,33 +2,33 @@
 #pragma once
 #include <catch2/catch.hpp>
 
+#include "lots/item_placer.hpp"
 #include "lots/lots.hpp"
-#include "lots/placing.hpp"
 #include "simulate/world.hpp"
 
 namespace mothwalk {
 
-inline Fault fault_in(const Envelope& envelope) {
-  const auto fault = from_cbor<WireFault>(envelope.body);
-  REQUIRE(fault);
-  return Fault{static_cast<FaultKind>(fault->kind), fault->field, fault->message, fault->remedy};
+inline Error error_in(const Envelope& envelope) {
+  const auto error = from_cbor<WireError>(envelope.body);
+  REQUIRE(error);
+  return Error{static_cast<ErrorKind>(error->kind), error->field, error->message, error->remedy};
 }
 
 // What is kept outlives the owners: two stages over one store are an owner and its successor.
 struct KeptStore {
   std::map<std::string, Record> records;
-  bool majority = true;                       // writes and questions are answered
-  Span delay = std::chrono::milliseconds(1);  // of writes
+  bool majority = true;                           // writes and questions are answered
+  Duration delay = std::chrono::milliseconds(1);  // of writes
 };
 
-class OwnerFixture : public Wire {
+class OwnerFixture : public Transport {
  public:
   OwnerFixture(KeptStore& kept, std::uint64_t epoch) : store(kept), epoch_(epoch), lots(messenger, shared_state) {
     for (const char* address : {"10.0.0.1:1", "10.0.0.2:1"}) {
       Member member;
       member.address = Address(address);
       member.incarnation = 7;
-      member.holder = HolderId(address);
+      member.holder = StorageNodeId(address);
       member.keeps = "lots";
       members.all[member.address] = member;
     }
@@ -47,7 +47,7 @@
     REQUIRE(lots.counts().slots_loaded == slots);
   }
   // Takes all slots again, under a higher epoch.
-  void retake(std::uint64_t epoch, Span between = {}) {
+  void retake(std::uint64_t epoch, Duration between = {}) {
     shared_state.owned.set(Ownership{});
     wait(std::chrono::milliseconds(60) + between);
     epoch_ = epoch;
@@ -80,12 +80,12 @@
     });
   }
   void serve(const Envelope& asked) {
-    auto give = [&](Bytes body, bool fault = false) {
-      messenger.take(Envelope{self, 1, "lots", "store", fault ? "fault" : "reply", asked.call, true, std::move(body),
+    auto give = [&](Bytes body, bool error = false) {
+      messenger.take(Envelope{self, 1, "lots", "store", error ? "fault" : "reply", asked.call, true, std::move(body),
                               protocol_number});
     };
-    auto refuse = [&](FaultKind kind) {
-      give(to_cbor(WireFault{static_cast<std::int32_t>(kind), "slot", "no", "ask again"}), true);
+    auto refuse = [&](ErrorKind kind) {
+      give(to_cbor(WireError{static_cast<std::int32_t>(kind), "slot", "no", "ask again"}), true);
     };
     if (asked.kind == "store.list") {
       const auto list = *from_cbor<ListSlot>(asked.body);
@@ -100,15 +100,15 @@
       return give(to_cbor(records));
     }
     if (asked.kind == "store.confirmslot")
-      return store.majority ? give(to_cbor(ConfirmReply{})) : refuse(FaultKind::busy);
-    if (!store.majority) return refuse(FaultKind::unknown);
+      return store.majority ? give(to_cbor(ConfirmReply{})) : refuse(ErrorKind::busy);
+    if (!store.majority) return refuse(ErrorKind::unknown);
     const auto write = *from_cbor<Write>(asked.body);
     growth = write.growth;
     ++writes;
     Record& record = store.records[write.key];
     if (write.expected && *write.expected != record.stamp.version.value)
       return record.token == write.token ? give(to_cbor(WriteReply{record.stamp, record.entries.size()}))
-                                         : refuse(FaultKind::stale);
+                                         : refuse(ErrorKind::stale);
     record.key = write.key;
     record.removed = write.removed;
     record.token = write.token;
@@ -117,7 +117,7 @@
     record.stamp = record.written = Stamp{Epoch{epoch_}, record.stamp.version.next()};
     give(to_cbor(WriteReply{record.stamp, record.entries.size()}));
   }
-  void wait(Span span) { world.run_until(world.now() + span); }
+  void wait(Duration span) { world.run_until(world.now() + span); }
   // Asks the owner, and gives the call's number.
   template <class Message>
   std::uint64_t call(const Message& message, const Address& from = Address("10.0.0.2:1")) {
@@ -131,30 +131,30 @@
     return nullptr;
   }
   template <class Message>
-  Result<typename Message::Reply> ask(const Message& message, Span span = std::chrono::milliseconds(50)) {
+  Result<typename Message::Reply> ask(const Message& message, Duration span = std::chrono::milliseconds(50)) {
     const std::uint64_t number = call(message);
     wait(span);
     const Envelope* answer = answer_to(number);
     REQUIRE(answer != nullptr);
-    if (answer->kind == "fault") return fault_in(*answer);
+    if (answer->kind == "fault") return error_in(*answer);
     auto reply = from_cbor<typename Message::Reply>(answer->body);
     REQUIRE(reply);
     return *reply;
   }
   template <class Message>
-  typename Message::Reply good(const Message& message, Span span = std::chrono::milliseconds(50)) {
+  typename Message::Reply good(const Message& message, Duration span = std::chrono::milliseconds(50)) {
     auto result = ask(message, span);
-    if (auto fault = fault_of(result)) FAIL(fault->message);
+    if (auto error = error_of(result)) FAIL(error->message);
     return std::get<0>(result);
   }
   template <class Message>
-  FaultKind fault(const Message& message) {
+  ErrorKind error_kind_of(const Message& message) {
     auto result = ask(message);
-    REQUIRE(fault_of(result) != nullptr);
-    return fault_of(result)->kind;
+    REQUIRE(error_of(result) != nullptr);
+    return error_of(result)->kind;
   }
-  static LotHead batch(std::size_t count, const Bytes& body = "body") {
-    LotHead head;
+  static LotSpecification batch(std::size_t count, const Bytes& body = "body") {
+    LotSpecification head;
     head.lane = "bulk";
     head.batch = true;
     head.host = "host.example";
@@ -170,7 +170,7 @@
               std::uint32_t failures = 0) {
     auto result = ask(
         FinishItems{{FinishItem{item.lot, item.item, item.attempt, outcome, 200, body, std::move(part), failures}}});
-    return fault_of(result) == nullptr && std::get<FinishReply>(result).heard.size() == 1;
+    return error_of(result) == nullptr && std::get<FinishReply>(result).heard.size() == 1;
   }
   LotPage read(const std::string& id, std::uint32_t after = 0, std::uint32_t limit = 1000) {
     return good(ReadLot{id, after, limit, {}});
@@ -202,35 +202,35 @@
 // The dialect of a test: the item's id and the last event stand in headers of their own.
 class TestDialect : public PlainDialect {
  public:
-  void write_attempt(AttemptRequest& request, const RequestFacts& facts, const AttemptFacts& attempt) const override {
+  void write_attempt(AttemptRequest& request, const RequestInfo& facts, const AttemptInfo& attempt) const override {
     request.headers.push_back({"Id", facts.id});
     request.headers.push_back({"For", attempt.runner});
     if (!attempt.version.empty()) request.headers.push_back({"Expected", attempt.version});
     if (attempt.last_event) request.headers.push_back({"After", std::to_string(*attempt.last_event)});
   }
-  AnswerFacts read_answer(int status, const std::vector<Header>& headers, const RequestFacts& facts) const override {
-    AnswerFacts answer;
+  ResponseInfo read_answer(int status, const std::vector<Header>& headers, const RequestInfo& facts) const override {
+    ResponseInfo answer;
     answer.not_run = header_of(headers, "Not-Run") != nullptr;
     if (const auto* id = header_of(headers, "Id")) answer.foreign = *id != facts.id;
     if (const auto* version = header_of(headers, "Version")) answer.version = *version;
     answer.other_instance = status == 421;
     return answer;
   }
-  View version_field() const override { return "weights"; }
+  StringView version_field() const override { return "weights"; }
 };
 
-class PlayedExchange : public Exchange {
+class PlayedExchange : public RunnerClient {
  public:
   struct Attempt {
     AttemptRequest request;
-    std::shared_ptr<AttemptWatcher> watcher;
+    std::shared_ptr<AttemptObserver> watcher;
     bool cancelled = false;
-    std::string header(View name) const {
+    std::string header(StringView name) const {
       const auto* value = header_of(request.headers, name);
       return value == nullptr ? "" : *value;
     }
   };
-  Id start(const AttemptRequest& request, std::shared_ptr<AttemptWatcher> watcher) override {
+  Id start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> watcher) override {
     attempts.push_back(Attempt{request, std::move(watcher), false});
     return attempts.size();
   }
@@ -239,13 +239,13 @@
   std::deque<Attempt> attempts;
 };
 
-class PlacerFixture : public Wire {
+class PlacerFixture : public Transport {
  public:
   PlacerFixture() : placing(messenger, shared_state, exchange, world.random, dialect) {
     Member member;
     member.address = self;
     member.incarnation = 7;
-    member.holder = HolderId("holder");
+    member.holder = StorageNodeId("holder");
     Members members;
     members.all[self] = member;
     shared_state.members.set(members);
@@ -267,7 +267,7 @@
     wait(std::chrono::seconds(1));
     shared_state.load.set({{"model", KindTotals{world.now(), {}}}});
   }
-  void wait(Span span) { world.run_until(world.now() + span); }
+  void wait(Duration span) { world.run_until(world.now() + span); }
   void send(const Address&, Envelope envelope) override {
     if (!envelope.reply && envelope.kind == "lots.fetch") {
       ++fetches;
@@ -288,7 +288,7 @@
     }
     sent.push_back(std::move(envelope));
   }
-  void answer(const Envelope& asked, Bytes body, Span after = std::chrono::milliseconds(1)) {
+  void answer(const Envelope& asked, Bytes body, Duration after = std::chrono::milliseconds(1)) {
     world.at(after, life, [this, asked, body] {
       messenger.take(Envelope{self, 1, "placing", "lots", "reply", asked.call, true, body, protocol_number});
     });
@@ -317,11 +317,11 @@
     REQUIRE_FALSE(exchange.attempts.empty());
     return exchange.attempts.back();
   }
-  FinishItem end(PlayedExchange::Attempt& attempt, int status, const Bytes& bytes, AttemptEnd how = AttemptEnd::whole,
-                 std::vector<Header> headers = {}) {
+  FinishItem end(PlayedExchange::Attempt& attempt, int status, const Bytes& bytes,
+                 AttemptOutcome how = AttemptOutcome::whole, std::vector<Header> headers = {}) {
     if (status > 0) attempt.watcher->on_head(status, headers);
     // In small pieces, so that events come in parts.
-    for (std::size_t at = 0; at < bytes.size(); at += 7) attempt.watcher->on_piece(View(bytes).substr(at, 7));
+    for (std::size_t at = 0; at < bytes.size(); at += 7) attempt.watcher->on_chunk(StringView(bytes).substr(at, 7));
     attempt.watcher->on_end(how);
     wait(std::chrono::milliseconds(200));
     REQUIRE_FALSE(finished.empty());
@@ -340,10 +340,10 @@
   std::vector<Envelope> sent;
   std::vector<PlacedItem> offered;
   std::vector<FinishItem> finished;
-  Span delay = std::chrono::milliseconds(1);  // of the answers to fetches
+  Duration delay = std::chrono::milliseconds(1);  // of the answers to fetches
   bool hears = true;
   int fetches = 0;
-  Placing placing;
+  ItemPlacer placing;
 };
 
 }  // namespace mothwalk
--- a/tests/lots_test.cpp
+++ b/tests/lots_test.cpp
@@ -7,7 +7,7 @@
 using namespace mothwalk;
 
 namespace {
-class Catcher : public Wire {
+class Catcher : public Transport {
  public:
   void send(const Address&, Envelope envelope) override { sent.push_back(std::move(envelope)); }
   const Envelope* last(const std::string& kind) const {
@@ -30,10 +30,10 @@
   const std::uint32_t slot = slot_of("lot/unheard-of");
   shared_state.owned.set(Ownership{{{slot, Epoch{4}}}});
   lots.start();
-  auto reply_to = [&](const Envelope& asked, bool fault) {
+  auto reply_to = [&](const Envelope& asked, bool error) {
     messenger.take(
-        Envelope{self, 1, "lots", "store", fault ? "fault" : "reply", asked.call, true,
-                 fault ? to_cbor(WireFault{static_cast<std::int32_t>(FaultKind::busy), "slot", "moved", "ask again"})
+        Envelope{self, 1, "lots", "store", error ? "fault" : "reply", asked.call, true,
+                 error ? to_cbor(WireError{static_cast<std::int32_t>(ErrorKind::busy), "slot", "moved", "ask again"})
                  : asked.kind == "store.list" ? to_cbor(ListSlotReply{})
                                               : to_cbor(ConfirmReply{}),
                  protocol_number});
@@ -52,9 +52,9 @@
                             protocol_number});
     reply_to(*wire.last("store.confirmslot"), !still_owner);
     CHECK(wire.sent.back().call == 78);
-    const auto fault = from_cbor<WireFault>(wire.sent.back().body);
-    REQUIRE(fault);
-    CHECK(fault->kind == static_cast<std::int32_t>(still_owner ? FaultKind::unknown_name : FaultKind::busy));
+    const auto error = from_cbor<WireError>(wire.sent.back().body);
+    REQUIRE(error);
+    CHECK(error->kind == static_cast<std::int32_t>(still_owner ? ErrorKind::unknown_name : ErrorKind::busy));
   }
 }
 
--- a/tests/messenger_test.cpp
+++ b/tests/messenger_test.cpp
@@ -7,14 +7,14 @@
 using namespace mothwalk;
 
 namespace {
-class KeptEnvelopes : public Wire {
+class KeptEnvelopes : public Transport {
  public:
   void send(const Address&, Envelope envelope) override { sent.push_back(std::move(envelope)); }
   std::vector<Envelope> sent;
 };
 
 std::uint64_t later_incarnation(simulate::World& world) {
-  return new_incarnation(std::chrono::hours(1000000) + (world.now() - Moment{}), world.random);
+  return new_incarnation(std::chrono::hours(1000000) + (world.now() - TimePoint{}), world.random);
 }
 
 Envelope answer_to(const Envelope& asked, const Address& replier) {
@@ -35,8 +35,8 @@
   Messenger messenger(wire, timers, caller, later_incarnation(world), "store");
   int settled = 0;
   for (int count = 0; count < calls; ++count) {
-    former.ask(replier, Confirm{}, std::chrono::seconds(1), [](Result<StoreReply>) {});
-    messenger.ask(replier, Confirm{}, std::chrono::seconds(1), [&](Result<StoreReply>) { ++settled; });
+    former.request(replier, Confirm{}, std::chrono::seconds(1), [](Result<StoreReply>) {});
+    messenger.request(replier, Confirm{}, std::chrono::seconds(1), [&](Result<StoreReply>) { ++settled; });
   }
   for (const auto& asked : former_wire.sent) messenger.take(answer_to(asked, replier));
   CHECK(settled == 0);
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -8,11 +8,11 @@
 namespace {
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
-constexpr Span local_latency = microseconds(20);
-constexpr Span network_latency = microseconds(500);
+constexpr Duration local_latency = microseconds(20);
+constexpr Duration network_latency = microseconds(500);
 constexpr std::size_t latency_spread = 1500;  // microseconds
-constexpr Span slow_sync = milliseconds(300);
-constexpr Span sound_sync = microseconds(400);
+constexpr Duration slow_sync = milliseconds(300);
+constexpr Duration sound_sync = microseconds(400);
 constexpr std::int64_t delays[] = {5, 60, 350, 1100};  // milliseconds
 
 std::string message_kind(const Envelope& envelope) {
@@ -33,7 +33,7 @@
   for (const auto& machine : machines)
     if (std::find(names.begin(), names.end(), machine.name) != names.end())
       roster.seats.push_back(
-          Seat{HolderId("holder-" + machine.name), address_of(machine.name), ZoneId(machine.zone), machine.name});
+          Voter{StorageNodeId("holder-" + machine.name), address_of(machine.name), ZoneId(machine.zone), machine.name});
   return roster;
 }
 
@@ -57,7 +57,7 @@
   Member self;
   self.address = self.callers = self.control = address;
   self.zone = ZoneId(setup.zone);
-  self.incarnation = new_incarnation(std::chrono::hours(1000) + (cluster_.scheduler.now() - Moment{}), *random_);
+  self.incarnation = new_incarnation(std::chrono::hours(1000) + (cluster_.scheduler.now() - TimePoint{}), *random_);
   self.keeps = setup.keeps;
   self.name = setup.name;
   auto messenger = [&](const std::string& slice) -> Messenger& {
@@ -73,7 +73,8 @@
     self.holder = duties_->store->identity();
   }
   duties_->sessions = std::make_unique<Sessions>(messenger("sessions"), *shared_state_, self, cluster_.seeds);
-  duties_->news = std::make_unique<News>(messenger("news"), *shared_state_, *random_, self.keeps_control(), &format_);
+  duties_->news = std::make_unique<ConfigurationGossip>(messenger("news"), *shared_state_, *random_,
+                                                        self.keeps_control(), &format_);
   duties_->client = std::make_unique<StoreClient>(messenger("control"), *shared_state_);
   duties_->fleet_calls = std::make_unique<FleetCalls>(*duties_->messengers["control"], *shared_state_);
   duties_->sessions->start();
@@ -211,7 +212,7 @@
   if (log != nullptr) log->push_back(SentMessage{scheduler.milliseconds(), name});
   Passage passage{is_cut(from.setup.name, to.setup.name), network_latency};
   if (schedule_.latency_seed != 0)
-    passage.latency += Span(static_cast<std::int64_t>(hash_of(name, schedule_.latency_seed) % latency_spread));
+    passage.latency += Duration(static_cast<std::int64_t>(hash_of(name, schedule_.latency_seed) % latency_spread));
   if (passage.lost) return passage;
   if (auto deviation = deviation_of(name)) {
     passage.lost = deviation->kind == DeviationKind::lose;
@@ -248,7 +249,7 @@
 
 // What was on its way to a process that has ended since is lost with its connection. A replier may answer a caller that
 // has started again since it asked.
-void Cluster::deliver(Machine& from, Machine& to, Envelope envelope, Span latency) {
+void Cluster::deliver(Machine& from, Machine& to, Envelope envelope, Duration latency) {
   auto shared = std::make_shared<Envelope>(std::move(envelope));
   const std::uint64_t caller_life = from.life();
   scheduler.after(latency, to.process(), [this, &from, &to, shared, caller_life] {
--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -4,9 +4,9 @@
 #include <unordered_map>
 
 #include "control/fleet_calls.hpp"
+#include "gossip/configuration_gossip.hpp"
 #include "model/planted_faults.hpp"
 #include "model/schedule.hpp"
-#include "news/news.hpp"
 #include "replication/replicated_store.hpp"
 #include "sessions/sessions.hpp"
 
@@ -17,7 +17,7 @@
 // Takes any text for a configuration document without content.
 class AnyDocument : public ConfigurationFormat {
  public:
-  Result<ConfigurationContent> read(View) const override { return ConfigurationContent{}; }
+  Result<ConfigurationContent> read(StringView) const override { return ConfigurationContent{}; }
 };
 
 struct MachineSetup {
@@ -30,7 +30,7 @@
 // The roster of the named machines, as if founded in an earlier life.
 Roster first_roster(const std::vector<MachineSetup>& machines, const std::vector<std::string>& names);
 
-class Machine : public Wire {
+class Machine : public Transport {
  public:
   Machine(Cluster& cluster, MachineSetup setup);
   void start();
@@ -53,7 +53,7 @@
   struct Duties {
     std::map<std::string, std::unique_ptr<Messenger>> messengers;
     std::unique_ptr<Sessions> sessions;
-    std::unique_ptr<News> news;
+    std::unique_ptr<ConfigurationGossip> news;
     std::unique_ptr<Founding> founding;
     std::unique_ptr<ReplicatedStore> store;
     std::unique_ptr<StoreClient> client;
@@ -111,12 +111,12 @@
  private:
   struct Passage {
     bool lost = false;
-    Span latency{};
+    Duration latency{};
   };
   Passage passage(Machine& from, Machine& to, const Envelope& envelope);
   std::optional<Deviation> deviation_of(const std::string& name);
   bool is_cut(const std::string& from, const std::string& to) const;
-  void deliver(Machine& from, Machine& to, Envelope envelope, Span latency);
+  void deliver(Machine& from, Machine& to, Envelope envelope, Duration latency);
   void restart(Machine& machine);
 
   const Schedule schedule_;
--- a/tests/model/disk.cpp
+++ b/tests/model/disk.cpp
@@ -25,7 +25,7 @@
       if (Stamp& stamp = slot.stamps[record.key]; stamp < record.stamp) stamp = record.stamp;
   if (entry.what == "handover") {
     slot.installed = entry.epoch;
-    std::set<View> named;
+    std::set<StringView> named;
     for (const auto& each : entry.content) {
       named.insert(each.key);
       if (Stamp& stamp = slot.stamps[each.key]; stamp.epoch != entry.epoch)
@@ -36,7 +36,7 @@
   }
 }
 
-void DecodedFile::apply(View bytes) {
+void DecodedFile::apply(StringView bytes) {
   if (bytes.empty()) return;
   const ReadFile file = read_frames(bytes);
   if (file.damaged) return;
@@ -63,7 +63,7 @@
 void ModelDisk::order(DiskOrder order) {
   if (order.kind == DiskOrder::Kind::append) ordered_.apply(order.bytes);
   if (acknowledges_early)
-    scheduler_.after(Span{0}, process_, [done = std::exchange(order.done, [](bool) {})] { done(true); });
+    scheduler_.after(Duration{0}, process_, [done = std::exchange(order.done, [](bool) {})] { done(true); });
   waiting_.push_back(std::move(order));
   if (!busy_) begin();
 }
--- a/tests/model/disk.hpp
+++ b/tests/model/disk.hpp
@@ -12,15 +12,15 @@
 struct DecodedFile {
   struct Slot {
     Epoch promised, installed;
-    HolderId promised_to;
+    StorageNodeId promised_to;
     std::map<std::string, Stamp> stamps;
   };
-  HolderId identity;
+  StorageNodeId identity;
   Roster roster;
   std::vector<Slot> slots{slot_count};
   std::uint64_t digest = 0;  // grows with each entry; equal histories have equal ones
   void apply(const DiskEntry& entry);
-  void apply(View bytes);
+  void apply(StringView bytes);
 };
 
 class ModelDisk : public Disk {
@@ -37,7 +37,7 @@
   void put(Bytes image);  // before the first start
   const DecodedFile& ordered() const { return ordered_; }
   const DecodedFile& synced() const { return synced_file_; }
-  Span sync_time = std::chrono::microseconds(400);
+  Duration sync_time = std::chrono::microseconds(400);
   bool acknowledges_early = false;  // a planted fault: says that bytes are safe before they are
 
  private:
--- a/tests/model/explorer.cpp
+++ b/tests/model/explorer.cpp
@@ -36,7 +36,7 @@
                                                      shape_.operators[index], shape_.trouble_until, histories_));
     cluster_.scheduler.at(shape_.heal_at, [this] { cluster_.heal(); });
     cluster_.scheduler.at(shape_.heal_at + calm_time, [this] { read_all(); });
-    cluster_.scheduler.run_until(Moment{(shape_.heal_at + calm_time + patience) * 1000},
+    cluster_.scheduler.run_until(TimePoint{(shape_.heal_at + calm_time + patience) * 1000},
                                  [this](const std::string& machine) { return after_step(machine); });
     return result();
   }
@@ -58,7 +58,7 @@
 
   void read_once(Machine& machine, const std::string& key) {
     if (!machine.running()) return;
-    const Moment called = cluster_.scheduler.now();
+    const TimePoint called = cluster_.scheduler.now();
     read_value(machine, key, [this, &machine, key, called](std::optional<std::string> value) {
       if (!value)
         return cluster_.scheduler.after(milliseconds(100), nullptr, [this, &machine, key] { read_once(machine, key); });
--- a/tests/model/invariants.cpp
+++ b/tests/model/invariants.cpp
@@ -8,8 +8,8 @@
 namespace mothwalk::model {
 
 namespace {
-constexpr Span oldest_news = std::chrono::seconds(2);
-constexpr Span surely_waiting = std::chrono::milliseconds(250);  // every call waits for longer
+constexpr Duration oldest_news = std::chrono::seconds(2);
+constexpr Duration surely_waiting = std::chrono::milliseconds(250);  // every call waits for longer
 
 std::string text_of(Stamp stamp) {
   return std::to_string(stamp.epoch.value) + "." + std::to_string(stamp.version.value);
@@ -24,7 +24,7 @@
 
 // Whether every majority of one roster meets every majority of the other.
 bool majorities_meet(const Roster& first, const Roster& second) {
-  std::set<HolderId> all;
+  std::set<StorageNodeId> all;
   for (const auto& seat : first.seats) all.insert(seat.holder);
   for (const auto& seat : second.seats) all.insert(seat.holder);
   return first.majority() + second.majority() > all.size();
@@ -39,8 +39,8 @@
 void Invariants::on_request(const Machine& from, const Machine&, const Envelope& envelope) {
   if (envelope.kind == Promise::kind) {
     if (auto promise = from_cbor<Promise>(envelope.body)) on_roster(promise->roster, from);
-  } else if (envelope.kind == Found::kind) {
-    if (auto found = from_cbor<Found>(envelope.body)) on_roster(found->roster, from);
+  } else if (envelope.kind == FoundRoster::kind) {
+    if (auto found = from_cbor<FoundRoster>(envelope.body)) on_roster(found->roster, from);
   } else if (envelope.kind == Store::kind) {
     if (auto store = from_cbor<Store>(envelope.body)) owner_rosters_[{from.setup.name, store->slot}] = store->roster;
   }
@@ -166,7 +166,7 @@
   auto owned = machine.shared_state().owned.get();
   if (owned == seen.owned) return;
   seen.owned = owned;
-  const HolderId& holder = machine.disk.ordered().identity;
+  const StorageNodeId& holder = machine.disk.ordered().identity;
   std::uint64_t hash = 0;
   for (const auto& [slot, epoch] : owned->slots) {
     hash = hash * 1000003 + slot * 7919 + epoch.value;
@@ -202,7 +202,7 @@
 }
 
 // The newest stamp that the news of a majority of the roster's seats had at that time.
-Stamp Invariants::of_majority(const std::string& key, const Roster& roster, Moment when) const {
+Stamp Invariants::of_majority(const std::string& key, const Roster& roster, TimePoint when) const {
   auto of_key = news_.find(key);
   if (of_key == news_.end()) return {};
   std::vector<Stamp> stamps;
@@ -219,9 +219,9 @@
 
 // A lease is only held with news that is not older than what a majority had two seconds ago.
 void Invariants::check_lease(Machine& machine, const Seen& seen) {
-  const Moment now = cluster_->scheduler.now();
+  const TimePoint now = cluster_->scheduler.now();
   if (!machine.shared_state().has_lease(now)) return;
-  const Moment then = now + -oldest_news;
+  const TimePoint then = now + -oldest_news;
   Version version;
   for (const auto& [since, each] : newest_rosters_)
     if (since <= then) version = each;
@@ -254,7 +254,7 @@
   if (members != seen.members) {
     Seen& place = seen_[machine.setup.name];
     place.members = members;
-    place.members_hash = hash_of(members->home.text);
+    place.members_hash = hash_of(members->session_server.text);
     for (const auto& [address, member] : members->all)
       place.members_hash = hash_of(address.text, place.members_hash + member.stalled + member.roster.value * 2);
   }
--- a/tests/model/invariants.hpp
+++ b/tests/model/invariants.hpp
@@ -30,7 +30,7 @@
  private:
   struct Grant {
     Epoch epoch;
-    HolderId owner;
+    StorageNodeId owner;
   };
   struct Seen {  // what a machine showed when it was last looked at
     std::shared_ptr<const Ownership> owned;
@@ -39,7 +39,7 @@
     std::uint64_t owned_hash = 0, configuration_hash = 0, members_hash = 0;
     std::map<std::string, Stamp> stamps;
   };
-  using Times = std::vector<std::pair<Moment, Stamp>>;
+  using Times = std::vector<std::pair<TimePoint, Stamp>>;
   void on_promise_reply(const Promise& promise, const PromiseReply& reply, const Machine& replica);
   template <class Message>
   void on_store_reply(const Request& request, const Envelope& envelope, const Machine& replica);
@@ -48,20 +48,20 @@
   void check_owned(Machine& machine, Seen& seen);
   void check_configuration(Machine& machine, Seen& seen);
   void check_lease(Machine& machine, const Seen& seen);
-  Stamp of_majority(const std::string& key, const Roster& roster, Moment when) const;
+  Stamp of_majority(const std::string& key, const Roster& roster, TimePoint when) const;
   void count_state(Machine& machine);
 
   Cluster* cluster_ = nullptr;
   std::optional<Violation> violation_;
-  std::map<std::pair<HolderId, std::uint32_t>, Grant> granted_;
-  std::map<std::pair<std::uint32_t, Epoch>, HolderId> owners_;
+  std::map<std::pair<StorageNodeId, std::uint32_t>, Grant> granted_;
+  std::map<std::pair<std::uint32_t, Epoch>, StorageNodeId> owners_;
   std::map<Version, Roster> rosters_;
   std::map<std::pair<std::string, std::uint32_t>, Version> owner_rosters_;  // by machine and slot: of its last Store
   std::map<std::string, Seen> seen_;
   std::map<std::string, Times> acknowledged_;                 // by key
   std::map<std::string, std::map<std::string, Times>> news_;  // by key and machine
   std::map<std::string, std::uint64_t> machine_hashes_;
-  std::vector<std::pair<Moment, Version>> newest_rosters_;
+  std::vector<std::pair<TimePoint, Version>> newest_rosters_;
   std::uint64_t state_ = 0;
   std::size_t wipes_ = 0;
   std::unordered_set<std::uint64_t> states_;
--- a/tests/model/operators.cpp
+++ b/tests/model/operators.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Span change_limit = milliseconds(1500);
-constexpr Span read_limit = milliseconds(1000);
-constexpr Span client_patience = milliseconds(2500);
+constexpr Duration change_limit = milliseconds(1500);
+constexpr Duration read_limit = milliseconds(1000);
+constexpr Duration client_patience = milliseconds(2500);
 constexpr int most_sends = 4;
 constexpr std::int64_t shortest_pause = 60, longest_pause = 500;  // milliseconds between operations
 
-Outcome outcome_of(const Fault* fault) {
+Outcome outcome_of(const Error* fault) {
   if (fault == nullptr) return Outcome::acknowledged;
-  if (fault->kind == FaultKind::conflict || fault->kind == FaultKind::unknown_name) return Outcome::refused;
-  if (fault->kind == FaultKind::refused) return Outcome::nothing;
+  if (fault->kind == ErrorKind::conflict || fault->kind == ErrorKind::unknown_name) return Outcome::refused;
+  if (fault->kind == ErrorKind::refused) return Outcome::nothing;
   return Outcome::unclear;
 }
 
@@ -73,7 +73,7 @@
 std::shared_ptr<Operator::Running> Operator::begin(const std::string& key, OperationKind kind, std::string value) {
   auto& history = histories_[key];
   history.push_back(
-      Operation{kind, std::move(value), 0, Outcome::unclear, cluster_.scheduler.now(), Moment{INT64_MAX}});
+      Operation{kind, std::move(value), 0, Outcome::unclear, cluster_.scheduler.now(), TimePoint{INT64_MAX}});
   auto running = std::make_shared<Running>();
   running->key = key;
   running->index = history.size() - 1;
@@ -138,7 +138,7 @@
   machine->fleet_calls()->change(std::move(change), change_limit, [this, running, life, again](Result<Version> result) {
     if (running->over || running->life != life) return;
     ++running->life;
-    const Outcome outcome = outcome_of(fault_of(result));
+    const Outcome outcome = outcome_of(error_of(result));
     if (outcome == Outcome::acknowledged) revision_ = record(*running).base + 1;
     if (outcome == Outcome::acknowledged || outcome == Outcome::refused) return finish(running, outcome);
     running->unclear = running->unclear || outcome == Outcome::unclear;
@@ -159,8 +159,8 @@
   if (machine == nullptr) return;
   machine->fleet_calls()->show(read_limit, [this, running](Result<FleetConfiguration> result) {
     if (running->over) return;
-    const auto* fault = fault_of(result);
-    const bool absent = fault != nullptr && fault->kind == FaultKind::unknown_name;
+    const auto* fault = error_of(result);
+    const bool absent = fault != nullptr && fault->kind == ErrorKind::unknown_name;
     if (fault != nullptr && !absent) return finish(running, Outcome::unclear);
     revision_ = absent ? 0 : std::get<FleetConfiguration>(result).revision;
     record(*running).value = configuration_value(result);
@@ -174,7 +174,7 @@
   cluster_.scheduler.after(client_patience, nullptr, [this, running] { finish(running, Outcome::unclear); });
   if (machine == nullptr) return;
   machine->client()->write(std::move(request), read_limit, [this, running](Result<WriteReply> result) {
-    if (!running->over) finish(running, outcome_of(fault_of(result)));
+    if (!running->over) finish(running, outcome_of(error_of(result)));
   });
 }
 
@@ -193,8 +193,8 @@
 void read_value(Machine& machine, const std::string& key, std::function<void(std::optional<std::string>)> then) {
   if (key == configuration_key)
     return machine.fleet_calls()->show(read_limit, [then](Result<FleetConfiguration> result) {
-      const auto* fault = fault_of(result);
-      if (fault != nullptr && fault->kind != FaultKind::unknown_name) return then(std::nullopt);
+      const auto* fault = error_of(result);
+      if (fault != nullptr && fault->kind != ErrorKind::unknown_name) return then(std::nullopt);
       then(configuration_value(result));
     });
   machine.client()->read(key, read_limit, [then](Result<ReadReply> result) {
--- a/tests/model/operators.hpp
+++ b/tests/model/operators.hpp
@@ -8,7 +8,7 @@
 
 enum class Step { change, show, put, get, put_lot, remove_lot, get_lot };
 
-inline constexpr View lot_register = "lot/one";
+inline constexpr StringView lot_register = "lot/one";
 
 struct OperatorPlan {
   std::vector<Step> steps;
--- a/tests/model/planted_faults.cpp
+++ b/tests/model/planted_faults.cpp
@@ -3,7 +3,7 @@
 
 #include "coding/cbor.hpp"
 #include "control/order_history.hpp"
-#include "news/news.hpp"
+#include "gossip/configuration_gossip.hpp"
 
 namespace mothwalk::model {
 
--- a/tests/model/planted_faults.hpp
+++ b/tests/model/planted_faults.hpp
@@ -1,8 +1,8 @@
 // Faults that are planted from outside, by rewriting messages and by disks that lie: each takes one guard away. A clean
 // run plants none. No product code knows of them.
 #pragma once
+#include "interfaces/interfaces.hpp"
 #include "model/disk.hpp"
-#include "seams/seams.hpp"
 
 namespace mothwalk::model {
 
@@ -18,9 +18,9 @@
 };
 
 struct FaultPlan {
-  View name;
+  StringView name;
   PlantedFault fault;
-  View shape;  // where it is looked for
+  StringView shape;  // where it is looked for
 };
 inline constexpr FaultPlan planted_faults[] = {
     {"none", PlantedFault::none, ""},
@@ -37,7 +37,7 @@
   std::string kind;
   Bytes body;
   Address to;
-  Moment sent;
+  TimePoint sent;
 };
 
 // Rewrites an envelope as it is taken, given the taker's file and, for a reply, the request that it answers.
--- a/tests/model/register_history.cpp
+++ b/tests/model/register_history.cpp
@@ -41,7 +41,7 @@
  private:
   bool from(std::uint64_t placed, const RegisterState& state) {
     if (!seen_.emplace(placed, state).second) return false;
-    Moment first_answer{INT64_MAX};
+    TimePoint first_answer{INT64_MAX};
     bool left = false;
     for (std::size_t index = 0; index < history_.size(); ++index) {
       if (placed >> index & 1) continue;
@@ -75,8 +75,8 @@
 }
 
 std::string describe(const std::vector<Operation>& history) {
-  static constexpr View kinds[] = {"read", "write", "remove", "change"};
-  static constexpr View outcomes[] = {"acknowledged", "refused", "unclear", "nothing done"};
+  static constexpr StringView kinds[] = {"read", "write", "remove", "change"};
+  static constexpr StringView outcomes[] = {"acknowledged", "refused", "unclear", "nothing done"};
   std::string text;
   for (const auto& each : history) {
     const bool open = each.answered.microseconds == INT64_MAX;
--- a/tests/model/register_history.hpp
+++ b/tests/model/register_history.hpp
@@ -18,7 +18,7 @@
   std::string value;       // written, or what was read; empty for absent
   std::uint64_t base = 0;  // of a compare-and-set: the revision that it builds on
   Outcome outcome = Outcome::unclear;
-  Moment called, answered{INT64_MAX};
+  TimePoint called, answered{INT64_MAX};
 };
 
 // True where the history is linearizable. A longer one than 63 operations is not searched and counts as not
--- a/tests/model/schedule.cpp
+++ b/tests/model/schedule.cpp
@@ -7,9 +7,9 @@
 namespace mothwalk::model {
 
 namespace {
-constexpr std::array<View, 7> kind_names = {"lose", "delay", "crash", "wipe", "freeze", "cut", "slow"};
+constexpr std::array<StringView, 7> kind_names = {"lose", "delay", "crash", "wipe", "freeze", "cut", "slow"};
 
-std::optional<DeviationKind> kind_of(View name) {
+std::optional<DeviationKind> kind_of(StringView name) {
   for (std::size_t index = 0; index < kind_names.size(); ++index)
     if (kind_names[index] == name) return static_cast<DeviationKind>(index);
   return std::nullopt;
--- a/tests/model/scheduler.cpp
+++ b/tests/model/scheduler.cpp
@@ -5,15 +5,16 @@
 
 namespace mothwalk::model {
 
-void Scheduler::after(Span span, ProcessPointer process, Task task) {
-  queue_.emplace(std::make_pair(now_ + std::max(span, Span{0}), ++order_), Event{std::move(process), std::move(task)});
+void Scheduler::after(Duration span, ProcessPointer process, Task task) {
+  queue_.emplace(std::make_pair(now_ + std::max(span, Duration{0}), ++order_),
+                 Event{std::move(process), std::move(task)});
 }
 
 void Scheduler::at(std::int64_t milliseconds, Task task) {
-  after(Moment{milliseconds * 1000} - now_, nullptr, std::move(task));
+  after(TimePoint{milliseconds * 1000} - now_, nullptr, std::move(task));
 }
 
-void Scheduler::run_until(Moment end, const std::function<bool(const std::string&)>& stepped) {
+void Scheduler::run_until(TimePoint end, const std::function<bool(const std::string&)>& stepped) {
   while (!queue_.empty() && queue_.begin()->first.first <= end) {
     auto node = queue_.extract(queue_.begin());
     now_ = std::max(now_, node.key().first);
@@ -37,10 +38,10 @@
   auto tasks = std::move(process->deferred);
   process->deferred.clear();
   std::sort(tasks.begin(), tasks.end(), [](const auto& left, const auto& right) { return left.first < right.first; });
-  for (auto& [order, task] : tasks) after(Span{0}, process, std::move(task));
+  for (auto& [order, task] : tasks) after(Duration{0}, process, std::move(task));
 }
 
-Timers::Id ModelTimers::after(Span span, Task task) {
+Timers::Id ModelTimers::after(Duration span, Task task) {
   const Id id = ++last_;
   live_->insert(id);
   scheduler_.after(span, process_, [live = live_, id, task = std::move(task)] {
--- a/tests/model/scheduler.hpp
+++ b/tests/model/scheduler.hpp
@@ -1,7 +1,7 @@
 // The deterministic scheduler under the model check: virtual time, one ordered queue of events, and the lives of
 // processes that the events belong to.
 #pragma once
-#include "seams/seams.hpp"
+#include "interfaces/interfaces.hpp"
 #include "simulate/world.hpp"
 
 namespace mothwalk::model {
@@ -16,12 +16,12 @@
 
 class Scheduler {
  public:
-  Moment now() const { return now_; }
+  TimePoint now() const { return now_; }
   std::int64_t milliseconds() const { return now_.microseconds / 1000; }
-  void after(Span span, ProcessPointer process, Task task);
+  void after(Duration span, ProcessPointer process, Task task);
   void at(std::int64_t milliseconds, Task task);
   // Runs all events up to `end`; `stepped` is called after each with the machine that it belonged to.
-  void run_until(Moment end, const std::function<bool(const std::string& machine)>& stepped);
+  void run_until(TimePoint end, const std::function<bool(const std::string& machine)>& stepped);
   void wake(const ProcessPointer& process);
   std::uint64_t steps() const { return steps_; }
   std::vector<std::shared_ptr<void>> graveyard;  // what ended within its own event; cleared between events
@@ -31,16 +31,16 @@
     ProcessPointer process;
     Task task;
   };
-  Moment now_{1};
+  TimePoint now_{1};
   std::uint64_t order_ = 0, steps_ = 0;
-  std::map<std::pair<Moment, std::uint64_t>, Event> queue_;
+  std::map<std::pair<TimePoint, std::uint64_t>, Event> queue_;
 };
 
 class ModelTimers : public Timers {
  public:
   ModelTimers(Scheduler& scheduler, ProcessPointer process) : scheduler_(scheduler), process_(std::move(process)) {}
-  Moment now() const override { return scheduler_.now(); }
-  Id after(Span span, Task task) override;
+  TimePoint now() const override { return scheduler_.now(); }
+  Id after(Duration span, Task task) override;
   void cancel(Id id) override { live_->erase(id); }
 
  private:
--- a/tests/model/shapes.cpp
+++ b/tests/model/shapes.cpp
@@ -37,7 +37,7 @@
 }
 
 // The machine that is the n-th in the order of a key's slot among the seats that the shape begins with.
-std::string owner_in_order(const Shape& shape, View key, std::size_t place) {
+std::string owner_in_order(const Shape& shape, StringView key, std::size_t place) {
   const Roster roster = first_roster(shape.machines, shape.seats);
   return slot_order(roster, slot_of(key)).at(place)->name;
 }
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -27,8 +27,9 @@
 
 TEST_CASE("a broken stream keeps its whole events, and its continuation joins without a gap or a double") {
   PlacerFixture fixture;
-  const FinishItem broken = fixture.end(fixture.offer(PlacerFixture::item()), 200,
-                                        "id: 1\ndata: one\n\nid: 2\ndata: two\n\nid: 3\ndata: thr", AttemptEnd::broken);
+  const FinishItem broken =
+      fixture.end(fixture.offer(PlacerFixture::item()), 200, "id: 1\ndata: one\n\nid: 2\ndata: two\n\nid: 3\ndata: thr",
+                  AttemptOutcome::broken);
   CHECK(broken.outcome == "lost");
   CHECK(broken.part.last_event == 2);
   CHECK(broken.part.text == "one\ntwo");
@@ -47,8 +48,8 @@
     PlacerFixture fixture;
     auto& attempt = fixture.offer(PlacerFixture::item(0, StreamPart{"one\ntwo", 2, "7"}));
     const FinishItem finish =
-        fixture.end(attempt, 200, other_weights ? "id: 3\ndata: three\n\n" : "id: 1\ndata: one\n\n", AttemptEnd::whole,
-                    {{"Version", other_weights ? "8" : "7"}});
+        fixture.end(attempt, 200, other_weights ? "id: 3\ndata: three\n\n" : "id: 1\ndata: one\n\n",
+                    AttemptOutcome::whole, {{"Version", other_weights ? "8" : "7"}});
     CHECK(finish.outcome == "damaged");
     CHECK(finish.part.last_event == 0);
     CHECK(finish.part.text.empty());
@@ -59,7 +60,7 @@
   PlacerFixture fixture;
   const FinishItem broken = fixture.end(fixture.offer(PlacerFixture::item()), 200,
                                         "id: 1\ndata: one\n\nweights: 8\nid: 2\ndata: two\n\nweights: 9\nid: 3\n",
-                                        AttemptEnd::broken, {{"Version", "7"}});
+                                        AttemptOutcome::broken, {{"Version", "7"}});
   CHECK((broken.part.version == "8" && broken.part.last_event == 2));
   fixture.wait(std::chrono::seconds(2));
   fixture.pass_second();
@@ -85,7 +86,7 @@
       attempt.watcher->on_head(200, {{"Id", "another"}, {"Version", "7"}});
     } else {
       attempt.watcher->on_head(200, {{"Version", "7"}});
-      attempt.watcher->on_piece("id: 4\ndata: four\n\n");
+      attempt.watcher->on_chunk("id: 4\ndata: four\n\n");
     }
     CHECK(attempt.cancelled);
     fixture.wait(milliseconds(200));
@@ -106,16 +107,18 @@
   struct Case {
     int status;
     std::vector<Header> headers;
-    AttemptEnd end;
+    AttemptOutcome end;
     std::string outcome;
     std::uint32_t failures;
   };
   for (const Case& each :
-       {Case{500, {}, AttemptEnd::whole, "failed", 1}, Case{422, {}, AttemptEnd::whole, "impossible", 0},
-        Case{503, {{"Not-Run", ""}}, AttemptEnd::whole, "not_run", 0},
-        Case{500, {{"Not-Run", ""}}, AttemptEnd::whole, "not_run", 0}, Case{421, {}, AttemptEnd::whole, "not_run", 0},
-        Case{422, {{"Id", "another"}}, AttemptEnd::whole, "lost", 0}, Case{500, {}, AttemptEnd::broken, "lost", 0},
-        Case{0, {}, AttemptEnd::not_sent, "not_run", 0}, Case{0, {}, AttemptEnd::late, "lost", 0}}) {
+       {Case{500, {}, AttemptOutcome::whole, "failed", 1}, Case{422, {}, AttemptOutcome::whole, "impossible", 0},
+        Case{503, {{"Not-Run", ""}}, AttemptOutcome::whole, "not_run", 0},
+        Case{500, {{"Not-Run", ""}}, AttemptOutcome::whole, "not_run", 0},
+        Case{421, {}, AttemptOutcome::whole, "not_run", 0},
+        Case{422, {{"Id", "another"}}, AttemptOutcome::whole, "lost", 0},
+        Case{500, {}, AttemptOutcome::broken, "lost", 0}, Case{0, {}, AttemptOutcome::not_sent, "not_run", 0},
+        Case{0, {}, AttemptOutcome::late, "lost", 0}}) {
     PlacerFixture fixture;
     const FinishItem finish =
         fixture.end(fixture.offer(PlacerFixture::item()), each.status, "", each.end, each.headers);
@@ -140,7 +143,7 @@
   PlacerFixture fixture;
   auto& attempt = fixture.offer(PlacerFixture::item());
   attempt.watcher->on_head(200, {});
-  attempt.watcher->on_piece("id: 1\ndata: one\n\nid: 2\n");
+  attempt.watcher->on_chunk("id: 1\ndata: one\n\nid: 2\n");
   fixture.tell(StopLot{"lot"});
   fixture.wait(milliseconds(200));
   CHECK(attempt.cancelled);
@@ -154,8 +157,8 @@
   auto& attempt = fixture.offer(PlacerFixture::item());
   fixture.hears = false;
   attempt.watcher->on_head(200, {});
-  attempt.watcher->on_piece("id: 1\ndata: one\n\n");
-  attempt.watcher->on_end(AttemptEnd::whole);
+  attempt.watcher->on_chunk("id: 1\ndata: one\n\n");
+  attempt.watcher->on_end(AttemptOutcome::whole);
   fixture.wait(std::chrono::seconds(3));
   CHECK(fixture.finished.empty());
   auto held = [&] {
@@ -190,7 +193,7 @@
           if (!attempt.cancelled) {
             attempt.cancelled = true;
             attempt.watcher->on_head(422, {});
-            attempt.watcher->on_end(AttemptEnd::whole);
+            attempt.watcher->on_end(AttemptOutcome::whole);
           }
       }
       fixture.shared_state.load.set({{"model", KindTotals{fixture.world.now(), {}}}});
--- a/tests/platform_operator_history.cpp
+++ b/tests/platform_operator_history.cpp
@@ -14,16 +14,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Span patience = seconds(1);        // of an operator, until the next daemon is asked
-constexpr Span give_up_after = seconds(12);  // of an operator, from the first sending of an order
-constexpr Span first_pause = milliseconds(100), longest_pause = milliseconds(800);
+constexpr Duration patience = seconds(1);        // of an operator, until the next daemon is asked
+constexpr Duration give_up_after = seconds(12);  // of an operator, from the first sending of an order
+constexpr Duration first_pause = milliseconds(100), longest_pause = milliseconds(800);
 constexpr std::size_t operators = 2, orders_at_once = 8;
 // A call of an evacuation is worked on for 1.5 s from its arrival; what it wrote last may be under way for 2 s more.
-constexpr Span evacuation_lasts = milliseconds(3500);
+constexpr Duration evacuation_lasts = milliseconds(3500);
 
 class Operators {
  public:
-  Operators(SimulatedCluster& cluster, OperatorSurfaces& surfaces, Moment until)
+  Operators(SimulatedCluster& cluster, OperatorSurfaces& surfaces, TimePoint until)
       : cluster_(cluster), world_(cluster.world), surfaces_(surfaces), until_(until) {}
 
   void start() {
@@ -39,8 +39,8 @@
  private:
   struct Pending {
     Order order;
-    Moment begun;
-    Span pause = first_pause;
+    TimePoint begun;
+    Duration pause = first_pause;
     bool checks_again = false;  // was acknowledged before
     std::function<void()> done;
   };
@@ -128,7 +128,7 @@
         return pending->done();
       }
       if (world_.now() - pending->begun > give_up_after) return pending->done();
-      pending->pause = std::min<Span>(pending->pause * 2, longest_pause);
+      pending->pause = std::min<Duration>(pending->pause * 2, longest_pause);
       world_.after(pending->pause, [this, pending] { send(pending); });
     });
   }
@@ -142,7 +142,7 @@
     });
   }
 
-  void set_zone(const std::string& zone, bool begins, Moment begun, std::function<void()> done) {
+  void set_zone(const std::string& zone, bool begins, TimePoint begun, std::function<void()> done) {
     if (over()) return;
     const std::size_t index = history.zones.size();
     history.zones.push_back(SetCall{zone, true, begins, time(), linearizability::never, false,
@@ -178,14 +178,14 @@
   SimulatedCluster& cluster_;
   World& world_;
   OperatorSurfaces& surfaces_;
-  Moment until_;
+  TimePoint until_;
   std::vector<Order> taken_;
   std::uint64_t contents_ = 0;
 };
 
 class Troubles {
  public:
-  Troubles(SimulatedCluster& cluster, Trouble trouble, Moment until)
+  Troubles(SimulatedCluster& cluster, Trouble trouble, TimePoint until)
       : cluster_(cluster), world_(cluster.world), trouble_(trouble), until_(until) {}
 
   void start() {
@@ -203,7 +203,7 @@
   }
 
   Machine* owner() {
-    for (const View key : {configuration_key, View("zone/zone-0")})
+    for (const StringView key : {configuration_key, StringView("zone/zone-0")})
       for (Machine* holder : cluster_.holders())
         if (holder->alive() && !holder->frozen() && world_.random.below(3) > 0 &&
             holder->shared_state().owned.get()->slots.contains(slot_of(key)))
@@ -214,7 +214,7 @@
   void strike(Trouble kind) {
     Machine* machine = owner();
     if (machine == nullptr || disturbed_ >= 1) return;
-    const Span length = milliseconds(400 + static_cast<std::int64_t>(world_.random.below(4000)));
+    const Duration length = milliseconds(400 + static_cast<std::int64_t>(world_.random.below(4000)));
     ++disturbed_;
     auto ended = [this] {
       world_.after(seconds(1), [this] { --disturbed_; });
@@ -259,7 +259,7 @@
   SimulatedCluster& cluster_;
   World& world_;
   Trouble trouble_;
-  Moment until_;
+  TimePoint until_;
   int disturbed_ = 0;
 };
 
@@ -274,7 +274,7 @@
   failed.settled = false;
   if (!start_and_wait(cluster)) return failed;
   surfaces.lost_answers = plan.lost_answers;
-  const Moment until = world.now() + plan.length;
+  const TimePoint until = world.now() + plan.length;
   Operators people(cluster, surfaces, until + seconds(6));
   Troubles troubles(cluster, plan.trouble, until);
   people.start();
--- a/tests/platform_operator_history.hpp
+++ b/tests/platform_operator_history.hpp
@@ -12,7 +12,7 @@
   std::uint64_t seed = 1;
   Trouble trouble = Trouble::mixed;
   double lost_answers = 0.7;
-  Span length = std::chrono::seconds(30);
+  Duration length = std::chrono::seconds(30);
   std::string shape = "small";
 };
 
--- a/tests/platform_operators.hpp
+++ b/tests/platform_operators.hpp
@@ -44,10 +44,10 @@
   }
 
   // Sends a call to a machine and runs the world until it is answered, for at most the span.
-  OperatorReply call(Machine& machine, const OperatorRequest& request, Span span = std::chrono::seconds(5)) {
+  OperatorReply call(Machine& machine, const OperatorRequest& request, Duration span = std::chrono::seconds(5)) {
     auto given = std::make_shared<std::optional<OperatorReply>>();
     send(machine, request, [given](OperatorReply reply) { *given = std::move(reply); });
-    const Moment until = cluster_.world.now() + span;
+    const TimePoint until = cluster_.world.now() + span;
     while (!*given && cluster_.world.now() < until)
       cluster_.world.run_until(cluster_.world.now() + std::chrono::milliseconds(5));
     return given->value_or(OperatorReply{});
@@ -57,17 +57,18 @@
   std::set<std::string> zones;  // that the settings name, for surfaces that are made from now on
 
  private:
-  static constexpr Span network_delay = std::chrono::microseconds(300);
+  static constexpr Duration network_delay = std::chrono::microseconds(300);
 
-  platform::PlatformSurface& surface(Machine& machine) {
+  platform::PlatformApiHandler& surface(Machine& machine) {
     auto& place = surfaces_[machine.name + "/" + std::to_string(machine.incarnation())];
     if (!place)
-      place = std::make_unique<platform::PlatformSurface>(*machine.control_messenger(), machine.shared_state(), zones);
+      place =
+          std::make_unique<platform::PlatformApiHandler>(*machine.control_messenger(), machine.shared_state(), zones);
     return *place;
   }
 
   SimulatedCluster& cluster_;
-  std::map<std::string, std::unique_ptr<platform::PlatformSurface>> surfaces_;  // by machine and life
+  std::map<std::string, std::unique_ptr<platform::PlatformApiHandler>> surfaces_;  // by machine and life
 };
 
 // Starts the cluster and waits until its own resources are applied.
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -64,7 +64,7 @@
 
 TEST_CASE("platform: the settings file in the product's terms") {
   auto read = read_node_text(node_file);
-  REQUIRE(fault_of(read) == nullptr);
+  REQUIRE(error_of(read) == nullptr);
   const NodeFile& file = std::get<NodeFile>(read);
   CHECK(file.settings.address.text == "10.1.0.12:7660");
   CHECK(file.settings.callers.text == "10.1.0.12:8144");
@@ -82,24 +82,24 @@
 TEST_CASE("platform: a grace that no clock can count is bounded, and one that is no number is refused") {
   for (const char* grace : {"1e300", "inf", "1000000000000"}) {
     auto read = read_node_text(replaced(node_file, "grace-s = 8", std::string("grace-s = ") + grace));
-    REQUIRE(fault_of(read) == nullptr);
+    REQUIRE(error_of(read) == nullptr);
     CHECK(std::get<NodeFile>(read).settings.drain == std::chrono::hours(24));
   }
   for (const char* grace : {"-1e300", "-inf", "0"}) {
     auto read = read_node_text(replaced(node_file, "grace-s = 8", std::string("grace-s = ") + grace));
-    REQUIRE(fault_of(read) == nullptr);
+    REQUIRE(error_of(read) == nullptr);
     CHECK(std::get<NodeFile>(read).settings.drain == std::chrono::seconds(1));
   }
   auto no_number = read_node_text(replaced(node_file, "grace-s = 8", "grace-s = nan"));
-  REQUIRE(fault_of(no_number) != nullptr);
-  CHECK(fault_of(no_number)->field == "timing-bounds.grace-s");
+  REQUIRE(error_of(no_number) != nullptr);
+  CHECK(error_of(no_number)->field == "timing-bounds.grace-s");
 }
 
 TEST_CASE("platform: settings that can't be used name the field") {
   auto field = [](const std::string& text) {
     auto read = read_node_text(text);
-    REQUIRE(fault_of(read) != nullptr);
-    return fault_of(read)->field;
+    REQUIRE(error_of(read) != nullptr);
+    return error_of(read)->field;
   };
   CHECK(field("node-name = ") == "settings");
   CHECK(field(without(node_file, "zone =")) == "zone");
@@ -115,7 +115,7 @@
 
 TEST_CASE("platform: a configuration becomes lanes, kinds and limits") {
   auto read = ConfigurationDocument().read(document);
-  REQUIRE(fault_of(read) == nullptr);
+  REQUIRE(error_of(read) == nullptr);
   const auto& content = std::get<ConfigurationContent>(read);
   const Lane& live = content.lanes.at("r-a");
   CHECK(live.host == "ficu95.example");
@@ -139,7 +139,7 @@
 TEST_CASE("platform: invalid configurations are refused") {
   auto refused = [](const std::string& text) {
     auto checked = check_whole(parsed(text));
-    return fault_of(checked) != nullptr;
+    return error_of(checked) != nullptr;
   };
   CHECK_FALSE(refused(document));
   CHECK(refused(replaced(document, R"("pool":"p1")", R"("pool":"gone")")));
@@ -150,7 +150,7 @@
   CHECK(refused(replaced(document, "\"timeout-ms\":6000", "\"timeout-ms\":0")));
   CHECK(refused(R"({"config-revision":7,"route-table":[]})"));
   CHECK(refused("[]"));
-  CHECK(fault_of(revision_of(parsed(R"({"route-table":[]})"))) != nullptr);
+  CHECK(error_of(revision_of(parsed(R"({"route-table":[]})"))) != nullptr);
 }
 
 TEST_CASE("platform: named changes leave the rest as it was written") {
@@ -158,15 +158,15 @@
       document,
       parsed(
           R"({"config-revision":9,"upsert":{"route-table":[{"name":"r-c","virtual-host":"h","path-prefix":"/new/","route-type":"idempotent","timeout-ms":900,"pool":"p2"}]},"remove":{"route-table":["r-b"]}})"));
-  REQUIRE(fault_of(changed) == nullptr);
+  REQUIRE(error_of(changed) == nullptr);
   const json::value after = json::parse(std::get<Bytes>(changed));
   CHECK(after.at("config-revision").to_number<int>() == 9);
   REQUIRE(after.at("route-table").as_array().size() == 2);
   CHECK(after.at("route-table").at(0) == parsed(document).at("route-table").at(0));
   CHECK(after.at("pool-table") == parsed(document).at("pool-table"));
   CHECK(after.at("limits") == parsed(document).at("limits"));
-  CHECK(fault_of(change_items(document, parsed(R"({"config-revision":9,"remove":{"pool-table":["p1"]}})"))) != nullptr);
-  CHECK(fault_of(change_items(document, parsed(R"({"config-revision":9,"upsert":[]})"))) != nullptr);
+  CHECK(error_of(change_items(document, parsed(R"({"config-revision":9,"remove":{"pool-table":["p1"]}})"))) != nullptr);
+  CHECK(error_of(change_items(document, parsed(R"({"config-revision":9,"upsert":[]})"))) != nullptr);
 }
 
 TEST_CASE("platform: headers to facts, facts to an attempt") {
@@ -177,7 +177,7 @@
                                     {"Token-Count", "1460,80"},
                                     {"Prompt-Prefix", "5c1e:800,91bd:410"},
                                     {"Last-Event-Id", "12"}};
-  const RequestFacts facts = dialect.read_request(headers);
+  const RequestInfo facts = dialect.read_request(headers);
   CHECK(facts.host == "ficu95.example");
   CHECK(facts.id == "9c41");
   CHECK(facts.budget == std::chrono::seconds(6));
@@ -188,18 +188,18 @@
   CHECK(facts.last_event == 12);
   AttemptRequest request;
   request.headers = headers;
-  dialect.write_attempt(request, facts, AttemptFacts{"i-7f", std::chrono::milliseconds(1500), 14, ""});
+  dialect.write_attempt(request, facts, AttemptInfo{"i-7f", std::chrono::milliseconds(1500), 14, ""});
   CHECK(*header_of(request.headers, "Time-Budget") == "1500");
   CHECK(*header_of(request.headers, "Target-Instance") == "i-7f");
   CHECK(*header_of(request.headers, "Last-Event-Id") == "14");
   CHECK(request.headers.size() == headers.size() + 1);
-  dialect.write_attempt(request, facts, AttemptFacts{"i-7f", std::chrono::milliseconds(1500), 14, "7"});
+  dialect.write_attempt(request, facts, AttemptInfo{"i-7f", std::chrono::milliseconds(1500), 14, "7"});
   CHECK(*header_of(request.headers, "Expected-Version") == "7");
 }
 
 TEST_CASE("platform: what runners' answers promise") {
   const PlatformDialect dialect;
-  RequestFacts facts;
+  RequestInfo facts;
   facts.id = "one";
   CHECK(dialect.read_answer(503, {{"Not-Executed", "1"}, {"Attempt-Id", "one"}}, facts).not_run);
   CHECK_FALSE(dialect.read_answer(503, {{"Attempt-Id", "one"}}, facts).not_run);
@@ -213,8 +213,8 @@
     CHECK(dialect.read_answer(status, {}, facts).foreign);
     CHECK(dialect.read_answer(status, {{"Attempt-Id", "two"}, {"Attempt-Id", "one"}}, facts).foreign);
   }
-  CHECK_FALSE(dialect.read_answer(400, {{"Not-Executed", "1"}}, RequestFacts{}).foreign);
-  const AnswerFacts answer = dialect.read_answer(
+  CHECK_FALSE(dialect.read_answer(400, {{"Not-Executed", "1"}}, RequestInfo{}).foreign);
+  const ResponseInfo answer = dialect.read_answer(
       200, {{"Keep-Alive", "timeout=5, max=10"}, {"Connection", "close"}, {"Instance-Load", "3,1,8"}}, facts);
   CHECK(answer.idle == std::chrono::seconds(5));
   CHECK(answer.closing);
@@ -223,7 +223,7 @@
 
 TEST_CASE("platform: a status that tells callers that nothing ran needs the runner's own promise") {
   const PlatformDialect dialect;
-  RequestFacts facts;
+  RequestInfo facts;
   facts.id = "one";
   for (const int status : {408, 429, 503}) {
     CHECK(dialect.read_answer(status, {{"Attempt-Id", "one"}}, facts).false_refusal);
@@ -235,7 +235,7 @@
 
 TEST_CASE("platform: an encoded body is not the runner's, and the version of its weights is read") {
   const PlatformDialect dialect;
-  RequestFacts facts;
+  RequestInfo facts;
   facts.id = "one";
   std::vector<Header> headers{{"Attempt-Id", "one"}, {"Server-Seal", "3e1b"}, {"Weight-Versions", "12"}};
   CHECK(dialect.read_answer(200, headers, facts).version == "12");
@@ -251,12 +251,12 @@
   auto read = list.read(
       R"({"instance-list":[{"pool":"p1","address":"10.1.0.9:80","zone":"a","slot-count":8,"oper-state":"draining","warmup-left-ms":1500,"instance-id":"i-1","new":[]},
     {"pool":"p1","address":"10.1.0.8:80","zone":"a","slot-count":8,"oper-state":"in_service","instance-id":"i-1"},{"pool":"p1"},3],"next-token":"p 50"})");
-  REQUIRE(fault_of(read) == nullptr);
+  REQUIRE(error_of(read) == nullptr);
   const auto& page = std::get<ListPage>(read);
   REQUIRE(page.runners.size() == 1);
   CHECK(page.runners.at("i-1").leaving);
   CHECK(page.runners.at("i-1").cold == std::chrono::milliseconds(1500));
   CHECK(list.target(page.next) == "/members?page-token=p%2050");
-  CHECK(fault_of(list.read("{}")) != nullptr);
-  CHECK(fault_of(list.read("not json")) != nullptr);
+  CHECK(error_of(list.read("{}")) != nullptr);
+  CHECK(error_of(list.read("not json")) != nullptr);
 }
--- a/tests/record_file_test.cpp
+++ b/tests/record_file_test.cpp
@@ -21,7 +21,7 @@
   const Bytes first = frame_entry(change(1), 0), second = frame_entry(change(2), first.size());
   const Bytes whole = first + second;
   for (std::size_t length = 0; length <= whole.size(); ++length) {
-    const ReadFile file = read_frames(View(whole).substr(0, length));
+    const ReadFile file = read_frames(StringView(whole).substr(0, length));
     CHECK(file.entries.size() == (length >= whole.size() ? 2 : length >= first.size() ? 1 : 0));
     CHECK_FALSE(file.damaged);
     CHECK(file.torn == (length != 0 && length != first.size() && length != whole.size()));
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -83,24 +83,24 @@
   disk.own(life);
   SimulatedTimers timers(world, life);
   SharedState shared_state;
-  auto open = [&](const std::string& address, HolderId* identity) {
+  auto open = [&](const std::string& address, StorageNodeId* identity) {
     Member self;
     self.address = Address(address);
     Messenger messenger(*cluster.machines[0], timers, self.address, 1, "store");
     ReplicatedStore kept(messenger, shared_state, disk, world.random, self, {}, ReplicatedStore::Report{});
     auto loaded = kept.load();
     *identity = kept.identity();
-    if (fault_of(loaded) == nullptr) {
+    if (error_of(loaded) == nullptr) {
       kept.start();
       world.run_until(world.now() + milliseconds(5));
     }
-    const auto* fault = fault_of(loaded);
+    const auto* error = error_of(loaded);
     life->alive = false;
     life = std::make_shared<Life>();
     disk.own(life);
-    return fault == nullptr ? std::string() : fault->field;
+    return error == nullptr ? std::string() : error->field;
   };
-  HolderId first, second, third;
+  StorageNodeId first, second, third;
   CHECK(open("10.0.0.1:7000", &first).empty());
   CHECK(open("10.0.0.2:7000", &second) == "data_folder");
   CHECK(open("10.0.0.1:7000", &third).empty());
@@ -109,7 +109,7 @@
 
 TEST_CASE("a holder that was restarted keeps its promises: lower epochs are refused from disk") {
   World world(9);
-  class Catcher : public Wire {
+  class Catcher : public Transport {
    public:
     void send(const Address&, Envelope envelope) override {
       if (envelope.reply) last = std::move(envelope);
@@ -118,8 +118,8 @@
   } wire;
   SimulatedDisk disk(world, "place");
   const Address self("10.0.0.1:1"), owner("10.0.0.2:1");
-  const HolderId mine("mine"), theirs("theirs");
-  HolderId identity;
+  const StorageNodeId mine("mine"), theirs("theirs");
+  StorageNodeId identity;
   Roster roster;
   for (int life_number = 0; life_number < 2; ++life_number) {
     auto life = std::make_shared<Life>();
@@ -130,12 +130,12 @@
     Member member;
     member.address = self;
     ReplicatedStore kept(messenger, shared_state, disk, world.random, member, {}, ReplicatedStore::Report{});
-    REQUIRE(fault_of(kept.load()) == nullptr);
+    REQUIRE(error_of(kept.load()) == nullptr);
     if (life_number == 0) identity = kept.identity();
     CHECK(kept.identity() == identity);
     kept.start();
     world.run_until(world.now() + milliseconds(20));
-    roster = Roster{Version{1}, {Seat{identity, self, ZoneId("h")}, Seat{theirs, owner, ZoneId("h")}}};
+    roster = Roster{Version{1}, {Voter{identity, self, ZoneId("h")}, Voter{theirs, owner, ZoneId("h")}}};
     auto say = [&](const auto& message) {
       messenger.take(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5, false,
                               to_cbor(message), protocol_number});
@@ -158,7 +158,7 @@
     change.stamp = Stamp{Epoch{6}, Version{9}};
     say(Store{identity, theirs, 3, Epoch{6}, Version{1}, change});
     CHECK(from_cbor<StoreReply>(wire.last.body)->outcome == "refused");
-    say(Promise{HolderId("wiped"), theirs, 3, Epoch{99}, roster});
+    say(Promise{StorageNodeId("wiped"), theirs, 3, Epoch{99}, roster});
     CHECK(wire.last.kind == "fault");
     say(Range{3});
     const auto range = from_cbor<RangeReply>(wire.last.body);
@@ -171,7 +171,7 @@
 TEST_CASE("a holder of lots whose disk is full keeps what it has, goes on promising, and writes no copy twice") {
   constexpr std::size_t disk_limit = 40u << 20;
   World world(11);
-  class Catcher : public Wire {
+  class Catcher : public Transport {
    public:
     void send(const Address&, Envelope envelope) override {
       if (envelope.reply)
@@ -189,18 +189,18 @@
   SimulatedTimers timers(world, life);
   SharedState shared_state;
   const Address self("10.0.0.1:1"), owner("10.0.0.2:1");
-  const HolderId theirs("theirs");
+  const StorageNodeId theirs("theirs");
   Messenger messenger(wire, timers, self, 1, "store");
   Member member;
   member.address = self;
   member.keeps = "lots";
   ReplicatedStore kept(messenger, shared_state, disk, world.random, member, {}, ReplicatedStore::Report{}, std::nullopt,
                        disk_limit);
-  REQUIRE(fault_of(kept.load()) == nullptr);
+  REQUIRE(error_of(kept.load()) == nullptr);
   kept.start();
   world.run_until(world.now() + milliseconds(20));
-  const HolderId identity = kept.identity();
-  const Roster roster{Version{1}, {Seat{identity, self, ZoneId("h")}, Seat{theirs, owner, ZoneId("h")}}};
+  const StorageNodeId identity = kept.identity();
+  const Roster roster{Version{1}, {Voter{identity, self, ZoneId("h")}, Voter{theirs, owner, ZoneId("h")}}};
   auto say = [&](const auto& message) {
     messenger.take(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5, false,
                             to_cbor(message), protocol_number});
@@ -248,7 +248,8 @@
   copy.stamp = copy.written = Stamp{Epoch{8}, Version{1}};
   copy.head = Bytes(3u << 20, 'l');
   bool offered = false;
-  for (const Moment end = world.now() + seconds(3); world.now() < end; world.run_until(world.now() + milliseconds(20)))
+  for (const TimePoint end = world.now() + seconds(3); world.now() < end;
+       world.run_until(world.now() + milliseconds(20)))
     for (; !wire.asked.empty(); wire.asked.pop_front()) {
       const Envelope ask = wire.asked.front();
       auto answer = [&](const auto& reply) {
@@ -265,7 +266,7 @@
 }
 
 TEST_CASE("news never goes back to a lower stamp, in whatever order it comes") {
-  class Silent : public Wire {
+  class Silent : public Transport {
    public:
     void send(const Address&, Envelope) override {}
   } wire;
@@ -273,11 +274,11 @@
   SimulatedTimers timers(world, std::make_shared<Life>());
   Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
-  News news(messenger, shared_state, world.random, false);
+  ConfigurationGossip news(messenger, shared_state, world.random, false);
   auto tell = [&](std::uint64_t epoch, std::uint64_t version, bool removed) {
-    Spread spread;
-    spread.items.push_back(NewsItem{"zone/h", Stamp{Epoch{epoch}, Version{version}}, removed,
-                                    version % 2 == 0 ? R"({"evacuated":true})" : "{}"});
+    PushUpdates spread;
+    spread.items.push_back(ConfigurationUpdate{"zone/h", Stamp{Epoch{epoch}, Version{version}}, removed,
+                                               version % 2 == 0 ? R"({"evacuated":true})" : "{}"});
     messenger.take(
         Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.spread", 0, false, to_cbor(spread), protocol_number});
   };
@@ -299,7 +300,7 @@
 }
 
 TEST_CASE("daemons of another protocol are refused cleanly, in words that they can read") {
-  class Catcher : public Wire {
+  class Catcher : public Transport {
    public:
     void send(const Address&, Envelope envelope) override { sent.push_back(std::move(envelope)); }
     std::vector<Envelope> sent;
@@ -308,16 +309,16 @@
   SimulatedTimers timers(world, std::make_shared<Life>());
   Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
-  News news(messenger, shared_state, world.random, false);
+  ConfigurationGossip news(messenger, shared_state, world.random, false);
   messenger.take(Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.compare", 5, false, to_cbor(Compare{}),
                           protocol_number + 1});
   REQUIRE(wire.sent.size() == 1);
   CHECK((wire.sent[0].reply && wire.sent[0].kind == "fault" && wire.sent[0].call == 5));
-  CHECK(from_cbor<WireFault>(wire.sent[0].body)->field == "protocol");
+  CHECK(from_cbor<WireError>(wire.sent[0].body)->field == "protocol");
   // And the other way: a refusal of a newer daemon reaches the one who asked.
   std::string heard;
-  messenger.ask(Address("10.0.0.2:1"), Compare{}, milliseconds(100),
-                [&](Result<CompareReply> result) { heard = fault_of(result)->field; });
+  messenger.request(Address("10.0.0.2:1"), Compare{}, milliseconds(100),
+                    [&](Result<CompareReply> result) { heard = error_of(result)->field; });
   Envelope refusal = wire.sent[0];
   refusal.from = Address("10.0.0.2:1");
   refusal.call = wire.sent.back().call;
@@ -402,7 +403,7 @@
   };
   CHECK((show().known && !show().retired && show().seated));
   cluster.operator_change("holder/" + leaving.address.text, R"({"retired":true})");
-  const Moment begun = world.now();
+  const TimePoint begun = world.now();
   while (!show().complete && world.now() - begun < seconds(10)) {}
   CHECK(world.now() - begun < seconds(3));
   // The owner of the roster's key says so; news reaches the others a moment later.
@@ -433,7 +434,7 @@
 }
 
 TEST_CASE("what an owner owned is taken over within a second and a half of its loss, in both groups") {
-  Span worst{};
+  Duration worst{};
   for (const bool lots : {false, true})
     for (std::uint64_t number = 1; number <= 6; ++number) {
       World world(300 + number);
@@ -445,7 +446,7 @@
       const auto slots = lost.shared_state().owned.get()->slots;
       REQUIRE_FALSE(slots.empty());
       lost.kill(false);
-      const Moment began = world.now();
+      const TimePoint began = world.now();
       auto taken = [&] {
         std::set<std::uint32_t> seen;
         for (std::size_t index = first; index < first + 4; ++index)
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-class MockExchange : public Exchange {
+class MockExchange : public RunnerClient {
  public:
-  MAKE_MOCK2(start, Id(const AttemptRequest&, std::shared_ptr<AttemptWatcher>), override);
+  MAKE_MOCK2(start, Id(const AttemptRequest&, std::shared_ptr<AttemptObserver>), override);
   MAKE_MOCK1(cancel, void(Id), override);
   MAKE_MOCK2(hold, void(Id, bool), override);
 };
 
-class SilentWire : public Wire {
+class SilentWire : public Transport {
  public:
   void send(const Address&, Envelope) override {}
 };
@@ -29,7 +29,7 @@
   bool ended = false, broken = false;
 };
 
-class SeeingCaller : public CallerSide {
+class SeeingCaller : public ResponseSink {
  public:
   explicit SeeingCaller(std::shared_ptr<Seen> seen) : seen_(std::move(seen)) {}
   void head(int status, const std::vector<Header>& headers) override {
@@ -40,7 +40,7 @@
       if (header.name == "Retry-After") seen_->retry_after = header.value;
     }
   }
-  void piece(View piece) override { seen_->text.append(piece); }
+  void piece(StringView piece) override { seen_->text.append(piece); }
   void end() override { seen_->ended = true; }
   void break_off() override { seen_->broken = true; }
   std::size_t backlog() const override { return backlog_; }
@@ -61,7 +61,7 @@
   Router router;
   struct Attempt {
     AttemptRequest request;
-    std::shared_ptr<AttemptWatcher> watcher;
+    std::shared_ptr<AttemptObserver> watcher;
   };
   std::vector<Attempt> attempts;
 
@@ -90,13 +90,13 @@
     Members members;
     members.all[self().address] = self();
     shared_state.members.set(members);
-    world.run_until(Moment{10000000});
+    world.run_until(TimePoint{10000000});
     lease();
-    shared_state.news_tick = 0;
+    shared_state.gossip_tick = 0;
     router.start();
   }
   void lease() { shared_state.lease_until = (world.now() + std::chrono::hours(1)).microseconds; }
-  void wait(Span span) { world.run_until(world.now() + span); }
+  void wait(Duration span) { world.run_until(world.now() + span); }
   std::shared_ptr<Seen> ask(const std::string& target, Router::Id* id = nullptr,
                             std::shared_ptr<SeeingCaller>* caller = nullptr) {
     auto seen = std::make_shared<Seen>();
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -16,14 +16,14 @@
   CHECK(spread.size() == 3);
   for (const auto& [address, count] : spread) CHECK((count == 2 && address != "10.0.1.4:80"));
   fixture.attempts[0].watcher->on_head(418, {{"X-Own", "1"}});
-  fixture.attempts[0].watcher->on_piece("short and stout");
-  fixture.attempts[0].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[0].watcher->on_chunk("short and stout");
+  fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
   CHECK((all[0]->status == 418 && all[0]->outcome == "answer" && all[0]->text == "short and stout" && all[0]->ended &&
          !all[0]->broken));
 }
 
 TEST_CASE("unrepeatable work that may have run is unknown and is never sent again") {
-  for (auto [end, status] : {std::pair{AttemptEnd::broken, 502}, {AttemptEnd::late, 504}}) {
+  for (auto [end, status] : {std::pair{AttemptOutcome::broken, 502}, {AttemptOutcome::late, 504}}) {
     Fixture fixture;
     EXPECT_ATTEMPTS(fixture, 1);
     auto seen = fixture.ask("/pay");
@@ -44,7 +44,7 @@
       if (refusal)
         fixture.attempts[attempt].watcher->on_head(429, {});
       else
-        fixture.attempts[attempt].watcher->on_end(AttemptEnd::not_sent);
+        fixture.attempts[attempt].watcher->on_end(AttemptOutcome::not_sent);
     }
     CHECK((seen->status == 503 && seen->outcome == "refused" && !seen->retry_after.empty() && seen->ended));
     std::set<std::string> used;
@@ -57,13 +57,14 @@
   Fixture fixture;
   EXPECT_ATTEMPTS(fixture, 4);
   auto seen = fixture.ask("/tell");
-  for (std::size_t attempt = 0; attempt < 3; ++attempt) fixture.attempts[attempt].watcher->on_end(AttemptEnd::broken);
+  for (std::size_t attempt = 0; attempt < 3; ++attempt)
+    fixture.attempts[attempt].watcher->on_end(AttemptOutcome::broken);
   CHECK((seen->status == 502 && seen->outcome == "unknown"));
   fixture.wait(std::chrono::seconds(3));
   auto other = fixture.ask("/tell");
   fixture.attempts[3].watcher->on_head(200, {});
-  fixture.attempts[3].watcher->on_piece("half");
-  fixture.attempts[3].watcher->on_end(AttemptEnd::broken);
+  fixture.attempts[3].watcher->on_chunk("half");
+  fixture.attempts[3].watcher->on_end(AttemptOutcome::broken);
   CHECK((other->text == "half" && other->broken && !other->ended));
 }
 
@@ -118,8 +119,8 @@
       fixture.attempts[0].watcher->on_head(429, {});
     } else {
       fixture.attempts[0].watcher->on_head(200, {});
-      fixture.attempts[0].watcher->on_piece("done");
-      fixture.attempts[0].watcher->on_end(AttemptEnd::whole);
+      fixture.attempts[0].watcher->on_chunk("done");
+      fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
     }
     CHECK(fixture.router.open() == 0);
     CHECK((seen->status == 0 && seen->text.empty() && !seen->ended));
@@ -149,8 +150,8 @@
   {
     REQUIRE_CALL(fixture.exchange, hold(_, true)).TIMES(1);
     caller->backlog_ = 300u << 10;
-    fixture.attempts[0].watcher->on_piece("more");
-    fixture.attempts[0].watcher->on_piece("and more");
+    fixture.attempts[0].watcher->on_chunk("more");
+    fixture.attempts[0].watcher->on_chunk("and more");
     caller->backlog_ = 200u << 10;
     fixture.wait(std::chrono::seconds(6));
   }
@@ -162,7 +163,7 @@
   CHECK_FALSE(seen->broken);
   ALLOW_CALL(fixture.exchange, hold(_, true));
   caller->backlog_ = 300u << 10;
-  fixture.attempts[0].watcher->on_piece("again");
+  fixture.attempts[0].watcher->on_chunk("again");
   fixture.wait(std::chrono::seconds(9));
   CHECK_FALSE(seen->broken);
   REQUIRE_CALL(fixture.exchange, cancel(_)).TIMES(1);
@@ -193,13 +194,13 @@
   fixture.ask("/pay");
   fixture.ask("/pay");
   fixture.attempts[0].watcher->on_head(200, {});
-  fixture.attempts[0].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
   fixture.wait(std::chrono::milliseconds(200));
   fixture.attempts[1].watcher->on_head(200, {});
-  fixture.attempts[1].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[1].watcher->on_end(AttemptOutcome::whole);
   fixture.ask("/pay");
   fixture.attempts[2].watcher->on_head(200, {});
-  fixture.attempts[2].watcher->on_end(AttemptEnd::broken);
+  fixture.attempts[2].watcher->on_end(AttemptOutcome::broken);
   fixture.shared_state.draining = true;
   fixture.ask("/pay");
   const auto& counts = fixture.router.counts().aims;
@@ -230,8 +231,8 @@
   CHECK(seen->status == 0);
   EXPECT_ATTEMPTS(fixture, 1);
   // The search has gone on for over a second while news ran all the time.
-  fixture.shared_state.lease_sought = fixture.world.now().microseconds - 1100000;
-  fixture.shared_state.news_tick = fixture.world.now().microseconds;
+  fixture.shared_state.lease_sought_since = fixture.world.now().microseconds - 1100000;
+  fixture.shared_state.gossip_tick = fixture.world.now().microseconds;
   fixture.wait(std::chrono::milliseconds(100));
   CHECK(fixture.attempts.size() == 1);
 }
@@ -261,8 +262,8 @@
   Fixture fixture;
   fixture.lease();
   fixture.shared_state.lease_until = 5;
-  fixture.shared_state.lease_sought = 6;  // sought long ago, but news has not run since: a freeze
-  fixture.shared_state.news_tick = 6;
+  fixture.shared_state.lease_sought_since = 6;  // sought long ago, but news has not run since: a freeze
+  fixture.shared_state.gossip_tick = 6;
   fixture.wait(std::chrono::seconds(2));
   auto seen = fixture.ask("/pay");
   fixture.wait(std::chrono::milliseconds(100));
@@ -344,7 +345,7 @@
   MockExchange exchange;
   Router router;
   std::vector<AttemptRequest> requests;
-  std::vector<std::shared_ptr<AttemptWatcher>> watchers;
+  std::vector<std::shared_ptr<AttemptObserver>> watchers;
 
   static Member numbered(int index) {
     Member member = Fixture::self();
@@ -372,8 +373,8 @@
     }
     shared_state.members.set(members);
     shared_state.lease_until = INT64_MAX / 2;
-    world.run_until(Moment{10000000});
-    shared_state.news_tick = world.now().microseconds;
+    world.run_until(TimePoint{10000000});
+    shared_state.gossip_tick = world.now().microseconds;
     router.start();
   }
   ~CrowdedDaemon() { life->alive = false; }
@@ -386,9 +387,9 @@
                          std::make_shared<SeeingCaller>(std::make_shared<Seen>()));
   }
   // Lets time pass while this daemon's configuration stays fresh.
-  void pass(Span span) {
-    for (const Moment end = world.now() + span; world.now() < end;) {
-      shared_state.news_tick = world.now().microseconds;
+  void pass(Duration span) {
+    for (const TimePoint end = world.now() + span; world.now() < end;) {
+      shared_state.gossip_tick = world.now().microseconds;
       world.run_until(world.now() + std::chrono::milliseconds(10));
     }
   }
@@ -458,12 +459,12 @@
     daemon.ask();
     REQUIRE(daemon.requests.size() == 1);
     const std::string failed = daemon.requests[0].runner;
-    daemon.watchers[0]->on_end(away ? AttemptEnd::not_sent : AttemptEnd::broken);
+    daemon.watchers[0]->on_end(away ? AttemptOutcome::not_sent : AttemptOutcome::broken);
     daemon.pass(std::chrono::seconds(1));
     // A probe that is answered, then as many as the runner is given.
     while (daemon.requests.back().runner != failed) daemon.ask();
     daemon.watchers.back()->on_head(200, {});
-    daemon.watchers.back()->on_end(AttemptEnd::whole);
+    daemon.watchers.back()->on_end(AttemptOutcome::whole);
     const auto before = daemon.requests.size();
     for (int count = 0; count < 12; ++count) daemon.ask();
     std::size_t given = 0;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -48,9 +48,9 @@
   const std::uint64_t memory = 32ull << 30;
   auto field_of = [&](scale::Size size) {
     auto result = scale::check_size(size, memory);
-    const Fault* fault = fault_of(result);
-    if (fault != nullptr) CHECK_FALSE(fault->remedy.empty());
-    return fault == nullptr ? std::string() : fault->field;
+    const Error* error = error_of(result);
+    if (error != nullptr) CHECK_FALSE(error->remedy.empty());
+    return error == nullptr ? std::string() : error->field;
   };
   scale::Size size;
   CHECK(field_of(size).empty());
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -33,18 +33,18 @@
 }  // namespace
 
 TEST_CASE("good settings are taken, faulty ones are named") {
-  CHECK(fault_of(read(good)) == nullptr);
-  CHECK(fault_of(read({}))->field == "address");
-  CHECK(fault_of(read(with({"--seeds", "127.0.0.1:7001"})))->field == "seeds");
-  CHECK(fault_of(read(with({"--seeds", "127.0.0.1:7001,nowhere,127.0.0.1:7201"})))->field == "seeds[1]");
-  CHECK(fault_of(read(with({"--seeds", "127.0.0.1:7001,127.0.0.1:7001,127.0.0.1:7201"})))->field == "seeds[1]");
-  CHECK(fault_of(read(with({"--callers", "127.0.0.1:0"})))->field == "callers");
-  CHECK(fault_of(read(with({"--callers", "127.0.0.1:7001"})))->field == "address");
-  CHECK(fault_of(read(with({"--log-level", "loud"})))->field == "log_level");
-  CHECK(fault_of(read(with({"--drain", "soon"})))->field == "drain");
-  CHECK(fault_of(read(with({"--colour", "red"})))->field == "flags");
-  CHECK(fault_of(read(with({"extra"})))->field == "flags");
-  CHECK(fault_of(read(with({"--settings", "/nowhere/at/all"})))->field == "settings");
+  CHECK(error_of(read(good)) == nullptr);
+  CHECK(error_of(read({}))->field == "address");
+  CHECK(error_of(read(with({"--seeds", "127.0.0.1:7001"})))->field == "seeds");
+  CHECK(error_of(read(with({"--seeds", "127.0.0.1:7001,nowhere,127.0.0.1:7201"})))->field == "seeds[1]");
+  CHECK(error_of(read(with({"--seeds", "127.0.0.1:7001,127.0.0.1:7001,127.0.0.1:7201"})))->field == "seeds[1]");
+  CHECK(error_of(read(with({"--callers", "127.0.0.1:0"})))->field == "callers");
+  CHECK(error_of(read(with({"--callers", "127.0.0.1:7001"})))->field == "address");
+  CHECK(error_of(read(with({"--log-level", "loud"})))->field == "log_level");
+  CHECK(error_of(read(with({"--drain", "soon"})))->field == "drain");
+  CHECK(error_of(read(with({"--colour", "red"})))->field == "flags");
+  CHECK(error_of(read(with({"extra"})))->field == "flags");
+  CHECK(error_of(read(with({"--settings", "/nowhere/at/all"})))->field == "settings");
   CHECK(std::get<CommandLine>(read({"--help"})).help);
 }
 
@@ -54,11 +54,11 @@
   std::ofstream(path)
       << R"({"address":"127.0.0.1:1001","callers":"127.0.0.1:1002","control":"127.0.0.1:1003","zone":"south","seeds":["127.0.0.1:1","127.0.0.1:2","127.0.0.1:3"],"drain":50})";
   auto line = read({"--settings", path, "--zone", "west"});
-  REQUIRE(fault_of(line) == nullptr);
+  REQUIRE(error_of(line) == nullptr);
   CHECK(std::get<CommandLine>(line).settings.zone.text == "west");
   CHECK(std::get<CommandLine>(line).settings.drain == std::chrono::milliseconds(50));
   std::ofstream(path) << R"({"hal":"south"})";
-  CHECK(fault_of(read({"--settings", path}))->field == "hal");
+  CHECK(error_of(read({"--settings", path}))->field == "hal");
 }
 
 TEST_CASE("a data folder is used by one daemon at a time, and must be writable") {
@@ -67,7 +67,7 @@
   };
   FileDisk first(folder.path / "data", ignore), second(folder.path / "data", ignore),
       nowhere("/proc/none/data", ignore);
-  CHECK(fault_of(first.open()) == nullptr);
-  CHECK(fault_of(second.open())->field == "data_folder");
-  CHECK(fault_of(nowhere.open())->field == "data_folder");
+  CHECK(error_of(first.open()) == nullptr);
+  CHECK(error_of(second.open())->field == "data_folder");
+  CHECK(error_of(nowhere.open())->field == "data_folder");
 }
--- a/tests/simulated_connections_test.cpp
+++ b/tests/simulated_connections_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Span closing = milliseconds(1);
+constexpr Duration closing = milliseconds(1);
 
 struct Daemon {
   explicit Daemon(World& given) : world(given), pool(std::make_unique<SimulatedConnectionPool>(given, life)) {}
@@ -23,7 +23,7 @@
     auto connection = pool->open("runner", runner, closing, bound);
     return pool->arrive(connection) ? connection : nullptr;
   }
-  void wait(Span span) { world.run_until(world.now() + span); }
+  void wait(Duration span) { world.run_until(world.now() + span); }
 };
 
 }  // namespace
@@ -50,9 +50,9 @@
 TEST_CASE("an idle connection counts at its runner until the daemon closes it after three quarters of the idle time") {
   World world{1};
   Daemon daemon(world);
-  const Span stated = GENERATE(Span{}, Span(milliseconds(4000)));
-  RunnerConnections runner = stated > Span{} ? RunnerConnections(1, stated) : RunnerConnections(1);
-  const Span idle = stated > Span{} ? stated : Span(milliseconds(800));
+  const Duration stated = GENERATE(Duration{}, Duration(milliseconds(4000)));
+  RunnerConnections runner = stated > Duration{} ? RunnerConnections(1, stated) : RunnerConnections(1);
+  const Duration idle = stated > Duration{} ? stated : Duration(milliseconds(800));
   daemon.pool->keep(daemon.connect(runner));
   daemon.wait(idle * 3 / 4 - milliseconds(1));
   CHECK(runner.open() == 1);
--- a/tests/speaking_fixture.hpp
+++ b/tests/speaking_fixture.hpp
@@ -7,8 +7,8 @@
 // A dialect as a platform might bring one.
 class Speaking : public PlainDialect {
  public:
-  RequestFacts read_request(const std::vector<Header>& headers) const override {
-    RequestFacts facts = PlainDialect::read_request(headers);
+  RequestInfo read_request(const std::vector<Header>& headers) const override {
+    RequestInfo facts = PlainDialect::read_request(headers);
     if (const auto* id = header_of(headers, "Id")) facts.id = *id;
     if (const auto* budget = header_of(headers, "Budget")) facts.budget = std::chrono::milliseconds(std::stoi(*budget));
     if (const auto* last = header_of(headers, "Last")) facts.last_event = std::stoull(*last);
@@ -18,14 +18,14 @@
       facts.prompt_tokens = static_cast<std::uint32_t>(std::stoul(*length));
     return facts;
   }
-  void write_attempt(AttemptRequest& request, const RequestFacts&, const AttemptFacts& attempt) const override {
+  void write_attempt(AttemptRequest& request, const RequestInfo&, const AttemptInfo& attempt) const override {
     request.headers.push_back({"Runner", attempt.runner});
     request.headers.push_back({"Left", std::to_string(attempt.left.count() / 1000)});
     if (!attempt.version.empty()) request.headers.push_back({"Expected", attempt.version});
     if (attempt.last_event) request.headers.push_back({"After", std::to_string(*attempt.last_event)});
   }
-  AnswerFacts read_answer(int status, const std::vector<Header>& headers, const RequestFacts& facts) const override {
-    AnswerFacts answer;
+  ResponseInfo read_answer(int status, const std::vector<Header>& headers, const RequestInfo& facts) const override {
+    ResponseInfo answer;
     answer.not_run = header_of(headers, "Not-Run") != nullptr || status == 421;
     answer.other_instance = status == 421;
     const auto* id = header_of(headers, "Id");
@@ -36,7 +36,7 @@
       answer.load = RunnerLoad{static_cast<std::uint32_t>(std::stoul(*load)), 0, 2};
     return answer;
   }
-  View version_field() const override { return "weights"; }
+  StringView version_field() const override { return "weights"; }
 };
 const Speaking speaking;
 
@@ -54,13 +54,13 @@
     if (id != nullptr) *id = given;
     return seen;
   }
-  std::string told(std::size_t attempt, View name) const {
+  std::string told(std::size_t attempt, StringView name) const {
     const auto* value = header_of(attempts.at(attempt).request.headers, name);
     return value == nullptr ? "" : *value;
   }
   void whole(std::size_t attempt, int status = 200, std::vector<Header> headers = {}) {
     attempts.at(attempt).watcher->on_head(status, headers);
-    attempts.at(attempt).watcher->on_end(AttemptEnd::whole);
+    attempts.at(attempt).watcher->on_end(AttemptOutcome::whole);
   }
 };
 
--- a/tests/stream_router_test.cpp
+++ b/tests/stream_router_test.cpp
@@ -13,9 +13,9 @@
     stream = say("/stream", {});
     request = say("/tell", {});
     attempts[0].watcher->on_head(200, {{"Content-Type", "text/event-stream"}});
-    attempts[0].watcher->on_piece("id: 1\ndata: a\n\n");
-    attempts[0].watcher->on_end(AttemptEnd::broken);
-    attempts[1].watcher->on_end(AttemptEnd::broken);
+    attempts[0].watcher->on_chunk("id: 1\ndata: a\n\n");
+    attempts[0].watcher->on_end(AttemptOutcome::broken);
+    attempts[1].watcher->on_end(AttemptOutcome::broken);
   }
   void remove(const std::string& key) {
     REQUIRE(put_in_view(view, key, nullptr, Stamp{}));
@@ -43,8 +43,8 @@
     REQUIRE(fixture.attempts.size() == 3);
     CHECK(fixture.told(2, "After") == "1");
     fixture.attempts[2].watcher->on_head(200, {});
-    fixture.attempts[2].watcher->on_piece("id: 2\ndata: b\n\n");
-    fixture.attempts[2].watcher->on_end(AttemptEnd::whole);
+    fixture.attempts[2].watcher->on_chunk("id: 2\ndata: b\n\n");
+    fixture.attempts[2].watcher->on_end(AttemptOutcome::whole);
     CHECK(fixture.stream->text == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     CHECK((fixture.stream->ended && !fixture.stream->broken));
     CHECK(fixture.say("/stream", {})->status == 404);
@@ -75,14 +75,14 @@
   EXPECT_ATTEMPTS(fixture, 2);
   auto seen = fixture.say("/stream", {});
   fixture.attempts[0].watcher->on_head(200, {{"Seal", "first"}, {"Version", "1"}});
-  fixture.attempts[0].watcher->on_piece("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
+  fixture.attempts[0].watcher->on_chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
   CHECK(seen->text == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  fixture.attempts[0].watcher->on_end(AttemptEnd::broken);
+  fixture.attempts[0].watcher->on_end(AttemptOutcome::broken);
   REQUIRE(fixture.attempts.size() == 2);
   CHECK((fixture.told(1, "After") == "2" && fixture.told(1, "Runner") != fixture.told(0, "Runner")));
   fixture.attempts[1].watcher->on_head(200, {{"Seal", "second"}, {"Version", "1"}});
-  fixture.attempts[1].watcher->on_piece("id: 3\ndata: c\n\n");
-  fixture.attempts[1].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[1].watcher->on_chunk("id: 3\ndata: c\n\n");
+  fixture.attempts[1].watcher->on_end(AttemptOutcome::whole);
   CHECK((seen->text == "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n" && seen->ended && !seen->broken));
   CHECK(fixture.router.counts().resumed == 1);
 }
@@ -94,16 +94,16 @@
     ALLOW_CALL(fixture.exchange, cancel(_));
     auto seen = fixture.say("/stream", {});
     fixture.attempts[0].watcher->on_head(200, {{"Version", "1"}});
-    fixture.attempts[0].watcher->on_piece("id: 1\ndata: a\n\n");
-    fixture.attempts[0].watcher->on_end(AttemptEnd::broken);
+    fixture.attempts[0].watcher->on_chunk("id: 1\ndata: a\n\n");
+    fixture.attempts[0].watcher->on_end(AttemptOutcome::broken);
     REQUIRE(fixture.attempts.size() == 2);
     if (how == "refused") {
       fixture.whole(1, 503, {{"Not-Run", "1"}});
     } else {
       fixture.attempts[1].watcher->on_head(200, {{"Version", how == "version" ? "2" : "1"}});
-      if (how == "gap") fixture.attempts[1].watcher->on_piece("id: 3\ndata: c\n\n");
-      if (how == "double") fixture.attempts[1].watcher->on_piece("id: 1\ndata: a\n\n");
-      if (how == "again") fixture.attempts[1].watcher->on_end(AttemptEnd::broken);
+      if (how == "gap") fixture.attempts[1].watcher->on_chunk("id: 3\ndata: c\n\n");
+      if (how == "double") fixture.attempts[1].watcher->on_chunk("id: 1\ndata: a\n\n");
+      if (how == "again") fixture.attempts[1].watcher->on_end(AttemptOutcome::broken);
     }
     CHECK((seen->broken && !seen->ended && seen->text == "id: 1\ndata: a\n\n"));
     CHECK(fixture.router.open() == 0);
@@ -118,16 +118,16 @@
   auto seen = fixture.say("/stream", {});
   CHECK(fixture.told(0, "Expected").empty());
   fixture.attempts[0].watcher->on_head(200, {{"Version", "1"}});
-  fixture.attempts[0].watcher->on_piece("id: 1\ndata: a\n\nweights: 2\nid: 2\ndata: b\n\nweights: 3\nid: 3\nda");
-  fixture.attempts[0].watcher->on_end(AttemptEnd::broken);
+  fixture.attempts[0].watcher->on_chunk("id: 1\ndata: a\n\nweights: 2\nid: 2\ndata: b\n\nweights: 3\nid: 3\nda");
+  fixture.attempts[0].watcher->on_end(AttemptOutcome::broken);
   REQUIRE(fixture.attempts.size() == 2);
   CHECK((fixture.told(1, "Expected") == "2" && fixture.told(1, "After") == "2"));
   fixture.whole(1, 421);
   REQUIRE(fixture.attempts.size() == 3);
   CHECK((fixture.told(2, "Expected") == "2" && fixture.told(2, "Runner") != fixture.told(1, "Runner")));
   fixture.attempts[2].watcher->on_head(200, {{"Version", "2"}});
-  fixture.attempts[2].watcher->on_piece("id: 3\ndata: c\n\n");
-  fixture.attempts[2].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[2].watcher->on_chunk("id: 3\ndata: c\n\n");
+  fixture.attempts[2].watcher->on_end(AttemptOutcome::whole);
   CHECK((seen->ended && seen->text == "id: 1\ndata: a\n\nweights: 2\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"));
   // It is the runner named in the list all the same, and gets the next request.
   fixture.put("circle/model", R"({"members":[")" + fixture.told(1, "Runner") + R"("],"warm":[]})");
@@ -141,13 +141,13 @@
   EXPECT_ATTEMPTS(fixture, 2);
   auto seen = fixture.say("/stream", {});
   fixture.attempts[0].watcher->on_head(200, {});
-  fixture.attempts[0].watcher->on_piece("id: 1\ndata: a\n\nid: 2\nda");
-  fixture.attempts[0].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[0].watcher->on_chunk("id: 1\ndata: a\n\nid: 2\nda");
+  fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
   REQUIRE(fixture.attempts.size() == 2);
   CHECK((!seen->ended && fixture.told(1, "After") == "1"));
   fixture.attempts[1].watcher->on_head(200, {});
-  fixture.attempts[1].watcher->on_piece("id: 2\ndata: b\n\n");
-  fixture.attempts[1].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[1].watcher->on_chunk("id: 2\ndata: b\n\n");
+  fixture.attempts[1].watcher->on_end(AttemptOutcome::whole);
   CHECK((seen->ended && seen->text == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"));
 }
 
@@ -160,7 +160,7 @@
   fixture.attempts[0].watcher->on_head(200, {});
   for (int count = 1; count < 5; ++count) {
     fixture.wait(std::chrono::milliseconds(1000));
-    fixture.attempts[0].watcher->on_piece("id: " + std::to_string(count) + "\ndata: a\n\n");
+    fixture.attempts[0].watcher->on_chunk("id: " + std::to_string(count) + "\ndata: a\n\n");
   }
   fixture.wait(std::chrono::milliseconds(990));
   CHECK((!stream->broken && silent->status == 0));
@@ -177,7 +177,7 @@
   auto seen = fixture.say("/stream", {{"Last", "7"}});
   CHECK(fixture.told(0, "After") == "7");
   fixture.attempts[0].watcher->on_head(200, {});
-  fixture.attempts[0].watcher->on_piece("id: 7\ndata: g\n\n");
+  fixture.attempts[0].watcher->on_chunk("id: 7\ndata: g\n\n");
   CHECK((seen->broken && seen->text.empty()));
 }
 
@@ -195,7 +195,7 @@
   auto first = fixture.say("/stream", {});
   const std::string dark = fixture.told(0, "Runner");
   fixture.attempts[0].watcher->on_head(200, {});
-  fixture.attempts[0].watcher->on_piece("id: 1\ndata: a\n\n");
+  fixture.attempts[0].watcher->on_chunk("id: 1\ndata: a\n\n");
   // Silent for a while, as a stream may be.
   fixture.wait(std::chrono::milliseconds(500));
   CHECK(fixture.attempts.size() == 1);
@@ -204,8 +204,8 @@
   REQUIRE(fixture.attempts.size() == 2);
   CHECK((fixture.told(1, "Runner") != dark && fixture.told(1, "After") == "1"));
   fixture.attempts[1].watcher->on_head(200, {});
-  fixture.attempts[1].watcher->on_piece("id: 2\ndata: b\n\n");
-  fixture.attempts[1].watcher->on_end(AttemptEnd::whole);
+  fixture.attempts[1].watcher->on_chunk("id: 2\ndata: b\n\n");
+  fixture.attempts[1].watcher->on_end(AttemptOutcome::whole);
   CHECK((first->text == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n" && first->ended));
   for (std::size_t count = 2; count < 5; ++count) {
     fixture.say("/once", {});
