--- a/source/circle/circle.cpp
+++ b/source/circle/circle.cpp
@@ -1,4 +1,4 @@
-// Collection of load, the cycle, replacement inside a cycle, and the choice of who enters and who leaves.
+// Collects load reports, computes the size of each circle and writes the decision to the replicated store.
 #include "circle/circle.hpp"
 
 #include <algorithm>
@@ -8,23 +8,27 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Duration tick_span = milliseconds(250);
-constexpr Duration totals_span = milliseconds(1000);
-constexpr Duration aged = milliseconds(3000);
-constexpr Duration report_span = milliseconds(1500);  // in which each daemon reports once at least
-constexpr Duration early_gap = milliseconds(2000);
-constexpr Duration settle = milliseconds(2500);
-constexpr Duration dark_span = std::chrono::seconds(5);
-constexpr std::size_t recent_samples = 8;
-constexpr std::size_t most_samples = 4096;
-constexpr double squeezed = 0.6;  // load that live work bears while lots need what runners there are
-constexpr Duration law_kept = std::chrono::seconds(15);           // a cycle that changes nothing is written no oftener
-constexpr Duration quiet_span = std::chrono::seconds(60);         // without any prompt, after which little is needed
-constexpr Duration quiet_beside_lots = std::chrono::seconds(10);  // the same while lots wait for runners
+constexpr Duration tick_interval = milliseconds(250);
+constexpr Duration totals_interval = milliseconds(1000);
+constexpr Duration report_max_age = milliseconds(3000);  // Older load reports are ignored.
+// Each daemon sends at least one load report within this interval.
+constexpr Duration report_interval = milliseconds(1500);
+constexpr Duration early_cycle_min_interval = milliseconds(2000);  // The time from one cycle to an early one.
+constexpr Duration startup_delay = milliseconds(2500);  // A new owner collects reports before its first cycle.
+constexpr Duration unreachable_duration = std::chrono::seconds(5);  // How long an unreachable runner is excluded.
+constexpr std::size_t recent_sample_count = 8;  // An early cycle judges the mean load of this many samples.
+constexpr std::size_t max_samples = 4096;
+// While lots need runners, live work may load the members up to this share of their slots.
+constexpr double live_load_beside_lots = 0.6;
+// Minimum time between two writes of decisions that change nothing but the controller's state.
+constexpr Duration unchanged_write_interval = std::chrono::seconds(15);
+// A circle that got no prompts may shrink after this time, and sooner if lots wait for runners.
+constexpr Duration idle_time_before_shrink = std::chrono::seconds(60);
+constexpr Duration idle_time_beside_lots = std::chrono::seconds(10);
 }  // namespace
 
-double load_of(const std::map<std::string, std::uint32_t>& open, std::uint32_t queued,
-               const std::vector<RunnerId>& members, const Table<Runner>& runners, std::uint32_t concurrency) {
+double relative_load(const std::map<std::string, std::uint32_t>& open, std::uint32_t queued,
+                     const std::vector<RunnerId>& members, const Table<Runner>& runners, std::uint32_t concurrency) {
   double busy = queued, slots = 0;
   for (const auto& member : members) {
     auto runner = runners.find(member.text);
@@ -35,22 +39,22 @@
   return slots == 0 ? 0 : busy / slots;
 }
 
-bool CircleDuty::State::shaken(const std::string& runner, Duration ramp, TimePoint now) const {
+bool CircleDuty::State::failed_recently(const std::string& runner, Duration ramp, TimePoint now) const {
   const auto found = failed.find(runner);
   return found != failed.end() && now - found->second < ramp;
 }
 
-// A daemon that tries seldom learns late that a runner is back: what it saw fail before the runner answered another one
-// begins no ramp once more.
-bool CircleDuty::State::take_absence(const std::string& runner, const ObservedLoad& seen, TimePoint now) {
-  if (!seen.failed) return false;
-  const TimePoint failure = now + -seen.failure.value_or(Duration{}), at = now + -*seen.failed;
+// A daemon that rarely sends requests to a runner learns late that the runner has recovered. Its report of a failure
+// that precedes the runner's first response to another daemon therefore starts no new ramp.
+bool CircleDuty::State::record_failure(const std::string& runner, const ObservedLoad& observed, TimePoint now) {
+  if (!observed.failed) return false;
+  const TimePoint failure = now + -observed.failure.value_or(Duration{}), at = now + -*observed.failed;
   if (auto known = returned.find(runner); known != returned.end() && failure <= known->second) return false;
-  if (seen.returned) returned[runner] = at;
+  if (observed.returned) returned[runner] = at;
   TimePoint& last = failed[runner];
-  const bool fresh = at > last + milliseconds(100);
+  const bool is_new = at > last + milliseconds(100);
   last = std::max(last, at);
-  return fresh;
+  return is_new;
 }
 
 CircleDuty::CircleDuty(Messenger& messenger, SharedState& shared_state)
@@ -60,16 +64,18 @@
     if (found == states_.end()) return;
     State& state = found->second;
     const TimePoint now = messenger_.timers().now();
-    // A attempt that failed may mean a new start of the runner: that it is cold is told to all, not found out by each.
-    bool fresh = false;
-    for (const auto& [runner, seen] : load.runners) fresh = state.take_absence(runner, seen, now) || fresh;
+    // A failed attempt may mean that the runner was restarted and is cold. The new ramp is published at once, so that
+    // the other daemons need not find out by failures of their own.
+    bool new_failure = false;
+    for (const auto& [runner, observed] : load.runners)
+      new_failure = state.record_failure(runner, observed, now) || new_failure;
     state.reports[{from, load.items}] = Report{std::move(load), now};
-    if (fresh) pass();
+    if (new_failure) update_circles();
   });
   messenger_.on_message<KindPending>([this](const Address& from, KindPending pending) {
     for (const auto& [kind, demand] : pending.kinds)
       if (auto found = states_.find(kind); found != states_.end())
-        found->second.demands[from] = Demand{demand, messenger_.timers().now()};
+        found->second.lot_demands[from] = Demand{demand, messenger_.timers().now()};
   });
 }
 
@@ -78,11 +84,11 @@
 }
 
 void CircleDuty::tick() {
-  pass();
-  messenger_.timers().after(tick_span, [this] { tick(); });
+  update_circles();
+  messenger_.timers().after(tick_interval, [this] { tick(); });
 }
 
-void CircleDuty::pass() {
+void CircleDuty::update_circles() {
   const auto owned = shared_state_.owned.get();
   const auto configuration = shared_state_.configuration.get();
   for (const auto& [kind, entry] : configuration->kinds) {
@@ -95,17 +101,17 @@
     if (state.epoch != slot->second) {
       state = State{};
       state.epoch = slot->second;
-      state.since = state.last_cycle = state.last_live = messenger_.timers().now();
+      state.started = state.last_cycle = state.last_prompt = messenger_.timers().now();
     }
-    run(kind, entry.spec, state);
+    update_circle(kind, entry.spec, state);
   }
   std::erase_if(states_, [&](const auto& entry) { return !configuration->kinds.contains(entry.first); });
 }
 
-bool CircleDuty::dark(const State& state, const std::string& runner, TimePoint now) const {
+bool CircleDuty::is_unreachable(const State& state, const std::string& runner, TimePoint now) const {
   std::size_t tried = 0, unhealthy = 0;
   for (const auto& [address, report] : state.reports) {
-    if (now - report.heard > aged) continue;
+    if (now - report.received > report_max_age) continue;
     auto found = report.load.runners.find(runner);
     if (found == report.load.runners.end() || !found->second.tried) continue;
     ++tried;
@@ -114,12 +120,13 @@
   return unhealthy > 0 && unhealthy * 2 >= tried;
 }
 
-// The shares of all daemons are meant to add up to no more than a runner takes.
-void CircleDuty::check_connections(const std::string& kind, std::uint32_t limit, State& state, TimePoint now) {
+// The connection limits of all daemons must add up to at most what the runner accepts. Logs and counts each violation
+// once, until the runner is back within its limit.
+void CircleDuty::check_connection_limit(const std::string& kind, std::uint32_t limit, State& state, TimePoint now) {
   if (limit == 0) return;
   std::map<std::string, std::uint32_t> connections;
   for (const auto& [from, report] : state.reports)
-    if (now - report.heard <= report_span)
+    if (now - report.received <= report_interval)
       for (const auto& [name, load] : report.load.runners) connections[name] += load.connections;
   std::set<std::string> over;
   for (const auto& [name, count] : connections) {
@@ -127,44 +134,47 @@
     over.insert(name);
     if (state.over_limit.contains(name)) continue;
     ++counts_.connections_over_limit;
-    note("Invariant violated: runner '" + name + "' of kind '" + kind + "' takes " + std::to_string(limit) +
-         " connections, and the daemons report " + std::to_string(count) + ".");
+    note("Invariant violated: runner '" + name + "' of kind '" + kind + "' accepts " + std::to_string(limit) +
+         " connections, but the daemons report " + std::to_string(count) + ".");
   }
   state.over_limit = std::move(over);
 }
 
-std::set<std::string> CircleDuty::able_runners(const ConfigurationView& configuration, const std::string& kind,
-                                               State& state, TimePoint now) const {
-  std::set<std::string> able;
+std::set<std::string> CircleDuty::available_runners(const ConfigurationView& configuration, const std::string& kind,
+                                                    State& state, TimePoint now) const {
+  std::set<std::string> available;
   for (const auto& [name, runner] : configuration.runners) {
     if (runner.spec.kind.text != kind || runner.spec.leaving || configuration.evacuated(runner.spec.zone)) continue;
-    // A dark runner is left out for a while, then may show again that it answers (through lots or a new entry).
-    if (dark(state, name, now)) state.dark_until[name] = now + dark_span;
-    if (auto found = state.dark_until.find(name); found != state.dark_until.end() && found->second > now) continue;
-    able.insert(name);
+    // An unreachable runner is excluded for a while. After that it may serve items of lots or become a member again,
+    // which shows whether it responds.
+    if (is_unreachable(state, name, now)) state.unreachable_until[name] = now + unreachable_duration;
+    if (auto found = state.unreachable_until.find(name); found != state.unreachable_until.end() && found->second > now)
+      continue;
+    available.insert(name);
   }
-  return able;
+  return available;
 }
 
-CircleDuty::Observed CircleDuty::observe(const Members& members, const Circle& before, State& state, TimePoint now) {
-  Observed seen;
+CircleDuty::LoadSummary CircleDuty::summarize_reports(const Members& members, const Circle& before, State& state,
+                                                      TimePoint now) {
+  LoadSummary summary;
   for (auto entry = state.reports.begin(); entry != state.reports.end();) {
     auto member = members.all.find(entry->first.first);
-    const bool there = member != members.all.end() && member->second.incarnation == entry->second.load.incarnation;
-    if (!there && now - entry->second.heard > aged) {
+    const bool is_member = member != members.all.end() && member->second.incarnation == entry->second.load.incarnation;
+    if (!is_member && now - entry->second.received > report_max_age) {
       entry = state.reports.erase(entry);
       continue;
     }
     const bool items = entry->second.load.items;
-    seen.fresh += !items && now - entry->second.heard <= aged;
-    seen.queued += entry->second.load.queued;
+    summary.daemons_reporting += !items && now - entry->second.received <= report_max_age;
+    summary.queued_prompts += entry->second.load.queued;
     for (const auto& [name, load] : entry->second.load.runners) {
       if (!items) {
-        seen.open[name] += load.open;
-        seen.live += load.open;
-        if (there) seen.demand[member->second.zone.text] += load.open;
+        summary.open[name] += load.open;
+        summary.live_prompts += load.open;
+        if (is_member) summary.live_by_zone[member->second.zone.text] += load.open;
       }
-      RunnerTotal& total = seen.totals[name];
+      RunnerTotal& total = summary.totals[name];
       (items ? total.items : total.open) += load.open;
       auto placer = before.placers.find(name);
       if (items && (placer == before.placers.end() || placer->second.address != entry->first.first))
@@ -172,81 +182,84 @@
     }
     ++entry;
   }
-  std::erase_if(state.demands, [&](const auto& each) { return now - each.second.heard > aged; });
-  for (const auto& [owner, each] : state.demands) {
-    seen.lots.pending += each.lots.pending;
-    seen.lots.at_once += each.lots.at_once;
+  std::erase_if(state.lot_demands, [&](const auto& each) { return now - each.second.received > report_max_age; });
+  for (const auto& [owner, each] : state.lot_demands) {
+    summary.lots.pending += each.lots.pending;
+    summary.lots.at_once += each.lots.at_once;
   }
-  return seen;
+  return summary;
 }
 
-// No oftener than the reports that the totals are made of.
-void CircleDuty::tell_totals(const std::string& kind, const Members& members, const Observed& seen, State& state,
+// Sends the totals to all daemons, no more often than the load reports that they are computed from.
+void CircleDuty::send_totals(const std::string& kind, const Members& members, const LoadSummary& summary, State& state,
                              TimePoint now) {
-  if (now - state.totals_told < totals_span) return;
-  state.totals_told = now;
-  const LoadTotals told{kind, seen.totals};
+  if (now - state.totals_sent < totals_interval) return;
+  state.totals_sent = now;
+  const LoadTotals totals{kind, summary.totals};
   for (const auto& [address, member] : members.all)
-    member.routes() ? messenger_.send(address, told) : messenger_.send(address, PlacerTotals{told});
+    member.routes() ? messenger_.send(address, totals) : messenger_.send(address, PlacerTotals{totals});
 }
 
-CircleDuty::Bounds CircleDuty::bounds(const Table<Runner>& runners, const std::set<std::string>& able,
-                                      const CircleSettings& circle, const Observed& seen) {
+CircleDuty::SizeBounds CircleDuty::size_bounds(const Table<Runner>& runners, const std::set<std::string>& available,
+                                               const CircleSettings& circle, const LoadSummary& summary) {
   double slots = 0;
-  for (const auto& name : able) slots += runners.at(name).spec.slots / static_cast<double>(able.size());
-  // Where there are few runners, the floor leaves the lots half of them.
-  const std::size_t most_floor = seen.lots_wait() ? std::max<std::size_t>(1, able.size() / 2) : able.size();
-  const std::size_t lowest = std::min<std::size_t>(circle.floor, most_floor);
-  const std::size_t all = able.size();
-  if (!seen.lots_wait() || all <= lowest) return {lowest, all};
-  // The lots get what they need to be in time, but for what live work takes at medium load.
+  for (const auto& name : available) slots += runners.at(name).spec.slots / static_cast<double>(available.size());
+  // If there are few runners, the configured floor may claim only half of them; the rest is left to waiting lots.
+  const std::size_t max_floor =
+      summary.has_waiting_lots() ? std::max<std::size_t>(1, available.size() / 2) : available.size();
+  const std::size_t lowest = std::min<std::size_t>(circle.floor, max_floor);
+  const std::size_t all = available.size();
+  if (!summary.has_waiting_lots() || all <= lowest) return {lowest, all};
+  // Lots get the runners that they need to finish in time, except those that live work needs at medium load.
   const auto wanted = std::max<std::size_t>(
-      circle.reserve, slots == 0 ? 0 : static_cast<std::size_t>(std::ceil(seen.lots.at_once / slots)));
+      circle.reserve, slots == 0 ? 0 : static_cast<std::size_t>(std::ceil(summary.lots.at_once / slots)));
   const double full = circle.concurrency == 0 ? slots : std::min<double>(circle.concurrency, slots);
-  const auto needed =
-      seen.lots.at_once > 0 && full > 0
-          ? static_cast<std::size_t>(std::ceil((seen.live + seen.queued) / (std::max(circle.target, squeezed) * full)))
-          : 0;
+  const auto needed = summary.lots.at_once > 0 && full > 0
+                          ? static_cast<std::size_t>(std::ceil((summary.live_prompts + summary.queued_prompts) /
+                                                               (std::max(circle.target, live_load_beside_lots) * full)))
+                          : 0;
   return {lowest, std::max({lowest, std::min(needed, all), all - std::min(wanted, all)})};
 }
 
 void CircleDuty::State::sample(double load) {
   samples.push_back(load);
   samples_loaded += load > 0;
-  const std::size_t recent = std::min(samples.size(), recent_samples);
+  const std::size_t recent = std::min(samples.size(), recent_sample_count);
   recent_load = mean_load = 0;
   for (std::size_t index = 0; index < samples.size(); ++index) {
     mean_load += samples[index] / static_cast<double>(samples.size());
     if (index + recent >= samples.size()) recent_load += samples[index] / static_cast<double>(recent);
   }
-  if (samples.size() > most_samples) samples.erase(samples.begin(), samples.begin() + most_samples / 2);
+  if (samples.size() > max_samples) samples.erase(samples.begin(), samples.begin() + max_samples / 2);
 }
 
-std::size_t CircleDuty::step(const CircleSettings& circle, const Bounds& limits, const Observed& seen,
-                             std::size_t routing, std::size_t size, State& state, TimePoint now, Circle& next) {
-  const std::size_t missing = routing > seen.fresh ? routing - seen.fresh : 0;
-  // No load seen is no sign that little is needed, unless it stays so.
-  const Duration quiet = seen.lots_wait() ? quiet_beside_lots : quiet_span;
-  const bool evidence = state.samples_loaded > 0 || now - state.last_live >= quiet;
-  const bool blind = now - state.since < settle || missing * 3 > routing || !evidence;
-  const bool early = state.recent_load > circle.high_water && now - state.last_cycle >= early_gap;
-  if (!blind && !state.writing && (early || now - state.last_cycle >= circle.cycle)) {
+std::size_t CircleDuty::next_size(const CircleSettings& circle, const SizeBounds& limits, const LoadSummary& summary,
+                                  std::size_t routing, std::size_t size, State& state, TimePoint now, Circle& next) {
+  const std::size_t missing_reports = routing > summary.daemons_reporting ? routing - summary.daemons_reporting : 0;
+  // The absence of load in one cycle does not show that few runners are needed; only a longer idle time does.
+  const Duration idle_time = summary.has_waiting_lots() ? idle_time_beside_lots : idle_time_before_shrink;
+  const bool load_known = state.samples_loaded > 0 || now - state.last_prompt >= idle_time;
+  const bool insufficient_data = now - state.started < startup_delay || missing_reports * 3 > routing || !load_known;
+  const bool early = state.recent_load > circle.high_water && now - state.last_cycle >= early_cycle_min_interval;
+  if (!insufficient_data && !state.writing && (early || now - state.last_cycle >= circle.cycle)) {
     const double load = early ? state.recent_load : state.mean_load;
-    size = state.law.step(load, circle.target, size, limits.lowest, limits.highest, missing == 0 && !early, early);
+    size = state.controller.next_size(load, circle.target, size, limits.lowest, limits.highest,
+                                      missing_reports == 0 && !early, early);
     next.load = load;
-    next.law = state.law.size;
-    next.error = state.law.last_error;
+    next.law = state.controller.size;
+    next.error = state.controller.last_error;
     ++next.cycle;
     next.reason = early ? "early" : "cycle";
     state.last_cycle = now;
     state.samples.clear();
     state.samples_loaded = 0;
   }
-  return seen.lots_wait() ? std::min(size, limits.highest) : size;
+  return summary.has_waiting_lots() ? std::min(size, limits.highest) : size;
 }
 
-// What of a decision is new, the weightiest change first; empty: nothing.
-std::string CircleDuty::change(const Circle& before, const Circle& next) {
+// Names the most important change between two decisions; empty if nothing changed. The text is stored as the circle's
+// reason.
+std::string CircleDuty::reason_for_change(const Circle& before, const Circle& next) {
   if (next.reason == "all" && next.members != before.members) return next.reason;
   if (!next.reason.empty() && next.reason != "all") return next.reason;
   if (next.members != before.members) return "replaced";
@@ -257,7 +270,7 @@
   return {};
 }
 
-void CircleDuty::run(const std::string& kind, const Kind& settings, State& state) {
+void CircleDuty::update_circle(const std::string& kind, const Kind& settings, State& state) {
   const TimePoint now = messenger_.timers().now();
   const auto configuration = shared_state_.configuration.get();
   const auto members = shared_state_.members.get();
@@ -265,61 +278,64 @@
   auto record = configuration->circles.find(kind);
   const bool decided = record != configuration->circles.end();
   const Circle before = decided ? record->second.spec : Circle{};
-  if (!state.law_loaded && decided) {
-    state.law.size = before.law;
-    state.law.last_error = before.error;
-    state.law_loaded = true;
+  if (!state.controller_loaded && decided) {
+    state.controller.size = before.law;
+    state.controller.last_error = before.error;
+    state.controller_loaded = true;
   }
-  const std::set<std::string> able = able_runners(*configuration, kind, state, now);
+  const std::set<std::string> available = available_runners(*configuration, kind, state, now);
   const bool any_known = std::any_of(runners.begin(), runners.end(),
                                      [&](const auto& runner) { return runner.second.spec.kind.text == kind; });
-  // After a start the runners come to be known later than the circle does: a list that has not come is no empty one.
+  // After a restart this daemon may receive the circle before the runners. Without any runner of the kind, the list is
+  // taken as not yet received rather than empty, so the circle stays as it is.
   if (!before.members.empty() && !any_known) return;
-  const Observed seen = observe(*members, before, state, now);
-  check_connections(kind, settings.connections, state, now);
-  tell_totals(kind, *members, seen, state, now);
+  const LoadSummary summary = summarize_reports(*members, before, state, now);
+  check_connection_limit(kind, settings.connections, state, now);
+  send_totals(kind, *members, summary, state, now);
   const CircleSettings& circle = settings.circle;
-  const double load = load_of(seen.open, seen.queued, before.members, runners, circle.concurrency);
+  const double load = relative_load(summary.open, summary.queued_prompts, before.members, runners, circle.concurrency);
   state.sample(load);
-  if (seen.live + seen.queued > 0) state.last_live = now;
+  if (summary.live_prompts + summary.queued_prompts > 0) state.last_prompt = now;
 
-  const Bounds limits = bounds(runners, able, circle, seen);
+  const SizeBounds limits = size_bounds(runners, available, circle, summary);
   Circle next = before;
   next.reason.clear();
-  std::size_t size = before.members.size() - std::min(before.members.size(), state.substitutes);
+  std::size_t size = before.members.size() - std::min(before.members.size(), state.extra_members);
   if (!decided || (!circle.all && before.cycle == 0 && state.samples_loaded == 0)) {
-    // No load was ever seen: all but the reserve, as the runners become known, and the law shrinks it on what it sees.
-    size = std::max<std::size_t>(limits.lowest, able.size() - std::min<std::size_t>(circle.reserve, able.size()));
+    // Without any load measured so far, the circle gets all known runners except the reserve. The PI controller shrinks
+    // it once load is measured.
+    size = std::max<std::size_t>(limits.lowest,
+                                 available.size() - std::min<std::size_t>(circle.reserve, available.size()));
     if (!decided) next.reason = "first";
   } else if (circle.all) {
-    size = able.size();
+    size = available.size();
     next.reason = "all";
   } else {
-    size = step(circle, limits, seen, members->routing(), size, state, now, next);
+    size = next_size(circle, limits, summary, members->routing(), size, state, now, next);
   }
-  if (!circle.all && !state.writing) state.substitutes = substitutes_for(before.members, state, circle.ramp, now);
-  size = std::clamp(size + state.substitutes, limits.lowest, std::max(limits.lowest, able.size()));
-  next.members = match_members(*configuration, able, size, before, seen.demand);
-  follow_ramps(runners, circle.ramp, before, state, now, next);
-  next.daemons = count_daemons(*members, before, state, now);
+  if (!circle.all && !state.writing) state.extra_members = extra_members_for(before.members, state, circle.ramp, now);
+  size = std::clamp(size + state.extra_members, limits.lowest, std::max(limits.lowest, available.size()));
+  next.members = choose_members(*configuration, available, size, before, summary.live_by_zone);
+  update_ramps(runners, circle.ramp, before, state, now, next);
+  next.daemons = count_routing_daemons(*members, before, state, now);
   next.dark.clear();
-  for (const auto& [name, until] : state.dark_until)
+  for (const auto& [name, until] : state.unreachable_until)
     if (until > now && runners.contains(name)) next.dark.push_back(RunnerId(name));
-  const auto shared = shared_with_lots(runners, settings, able, next, seen, state, now);
-  appoint(*configuration, *members, able, shared, state, next);
+  const auto shared_members = members_shared_with_lots(runners, settings, available, next, summary, state, now);
+  assign_placers(*configuration, *members, available, shared_members, state, next);
   std::erase_if(state.entered, [&](const auto& entry) { return !next.has(entry.first); });
-  next.reason = change(before, next);
+  next.reason = reason_for_change(before, next);
   if (next.reason.empty() || state.writing) return;
   const bool same = next.members == before.members && next.warm == before.warm && next.dark == before.dark &&
                     next.generations == before.generations && next.ramps == before.ramps &&
                     next.placers == before.placers && next.daemons == before.daemons;
-  if (same && next.reason == "cycle" && now - state.written < law_kept) return;
+  if (same && next.reason == "cycle" && now - state.written < unchanged_write_interval) return;
   state.written = now;
   note("Kind '" + kind + "', " + next.reason + ": " + std::to_string(next.members.size()) + " members, " +
-       std::to_string(next.warm.size()) + " of them past their ramp, of " + std::to_string(able.size()) +
-       " able runners; " + std::to_string(next.dark.size()) + " dark, load " + std::to_string(load) + ", " +
-       std::to_string(seen.live) + " live, " + std::to_string(seen.queued) + " queued, items for " +
-       std::to_string(seen.lots.at_once) + " slots.");
+       std::to_string(next.warm.size()) + " of them past their ramp, of " + std::to_string(available.size()) +
+       " available runners; " + std::to_string(next.dark.size()) + " unreachable, load " + std::to_string(load) + ", " +
+       std::to_string(summary.live_prompts) + " live prompts, " + std::to_string(summary.queued_prompts) +
+       " queued prompts; items of lots need " + std::to_string(summary.lots.at_once) + " slots.");
   write(kind, state, std::move(next));
 }
 
@@ -331,8 +347,8 @@
   write.fence = state.epoch.value;
   messenger_.request(messenger_.self(), write, milliseconds(2500),
                      [this, kind, epoch = state.epoch](Result<WriteReply>) {
-                       // The news brings the decision back within a round; writing again before that would only repeat
-                       // it.
+                       // Gossip delivers the written decision to this daemon within one round. A second write before
+                       // then would only repeat it.
                        messenger_.timers().after(milliseconds(100), [this, kind, epoch] {
                          auto found = states_.find(kind);
                          if (found != states_.end() && found->second.epoch == epoch) found->second.writing = false;
--- a/source/circle/internals.hpp
+++ b/source/circle/internals.hpp
@@ -1,4 +1,4 @@
-// What the parts of the circle duty share.
+// Helpers shared by the source files of CircleDuty.
 #pragma once
 #include "circle/circle.hpp"
 
--- a/source/circle/membership.cpp
+++ b/source/circle/membership.cpp
@@ -1,4 +1,4 @@
-// Which runners are members: who enters and leaves, who stands in for others, and the ramps of entrants.
+// Chooses the members of a circle: additions, removals, extra members for failed ones, and ramps.
 #include <algorithm>
 
 #include "circle/internals.hpp"
@@ -6,89 +6,97 @@
 namespace mothwalk {
 
 namespace {
-constexpr Duration fewer_span = std::chrono::seconds(60);  // that fewer daemons route before shares are made for fewer
+// How long fewer daemons have to route requests before the runners' capacity is divided among fewer of them.
+constexpr Duration fewer_daemons_delay = std::chrono::seconds(60);
 }  // namespace
 
-std::vector<RunnerId> CircleDuty::match_members(const ConfigurationView& configuration,
-                                                const std::set<std::string>& able, std::size_t size,
-                                                const Circle& before, const std::map<std::string, double>& demand) {
+std::vector<RunnerId> CircleDuty::choose_members(const ConfigurationView& configuration,
+                                                 const std::set<std::string>& available, std::size_t size,
+                                                 const Circle& before,
+                                                 const std::map<std::string, double>& live_by_zone) {
   std::vector<std::string> members;
   for (const auto& member : before.members)
-    if (able.contains(member.text)) members.push_back(member.text);
-  std::map<std::string, std::size_t> in_zone;
-  std::map<std::string, double> share;
-  double all = 0;
-  for (const auto& [zone, work] : demand) all += work;
+    if (available.contains(member.text)) members.push_back(member.text);
+  std::map<std::string, std::size_t> members_in_zone;
+  std::map<std::string, double> zone_shares;
+  double total_live = 0;
+  for (const auto& [zone, prompts] : live_by_zone) total_live += prompts;
   auto zone = [&](const std::string& name) -> const std::string& {
     return configuration.runners.at(name).spec.zone.text;
   };
-  for (const auto& name : able) share[zone(name)] = 0;
-  for (auto& [name, part] : share) {
-    auto work = demand.find(name);
-    // Evenly as far as nothing is known; work moves, so that the known part never is all.
-    part =
-        all < 1 ? 1 : 0.3 / static_cast<double>(share.size()) + 0.7 * (work == demand.end() ? 0 : work->second / all);
+  for (const auto& name : available) zone_shares[zone(name)] = 0;
+  for (auto& [name, zone_share] : zone_shares) {
+    auto prompts = live_by_zone.find(name);
+    // Without known prompts all zones have equal shares. The distribution of the prompts changes over time, so 30 % of
+    // the members are always divided equally.
+    zone_share = total_live < 1 ? 1
+                                : 0.3 / static_cast<double>(zone_shares.size()) +
+                                      0.7 * (prompts == live_by_zone.end() ? 0 : prompts->second / total_live);
   }
-  const std::set<std::string> warm_ones = names_of(before.warm);
+  const std::set<std::string> warm_names = names_of(before.warm);
   auto warm = [&](const std::string& name) {
-    return warm_ones.contains(name);
+    return warm_names.contains(name);
   };
   auto cold = [&](const std::string& name) {
     return configuration.runners.at(name).spec.cold > Duration{};
   };
-  for (const auto& name : members) ++in_zone[zone(name)];
-  auto leave = [&](auto better) {
-    auto leaver = std::max_element(members.begin(), members.end(), better);
-    --in_zone[zone(*leaver)];
-    members.erase(leaver);
+  for (const auto& name : members) ++members_in_zone[zone(name)];
+  auto remove_member = [&](auto less) {
+    auto removed = std::max_element(members.begin(), members.end(), less);
+    --members_in_zone[zone(*removed)];
+    members.erase(removed);
   };
-  // A cold runner has no place in the circle while there are warm ones outside it.
-  std::set<std::string> outside = able;
+  // Replaces cold members as long as there are warm runners outside the circle.
+  std::set<std::string> outside = available;
   for (const auto& name : members) outside.erase(name);
   std::size_t warm_outside = static_cast<std::size_t>(
       std::count_if(outside.begin(), outside.end(), [&](const std::string& name) { return !cold(name); }));
   for (; warm_outside > 0 && std::any_of(members.begin(), members.end(), cold); --warm_outside)
-    leave([&](const std::string& left, const std::string& right) {
+    remove_member([&](const std::string& left, const std::string& right) {
       return std::make_pair(cold(left), hash_of(left)) < std::make_pair(cold(right), hash_of(right));
     });
   while (members.size() > size)
-    leave([&](const std::string& left, const std::string& right) {
-      auto crowd = [&](const std::string& name) {
-        return static_cast<double>(in_zone[zone(name)]) / share[zone(name)];
+    remove_member([&](const std::string& left, const std::string& right) {
+      auto members_per_share = [&](const std::string& name) {
+        return static_cast<double>(members_in_zone[zone(name)]) / zone_shares[zone(name)];
       };
-      return std::make_tuple(cold(left), crowd(left), !warm(left), hash_of(left)) <
-             std::make_tuple(cold(right), crowd(right), !warm(right), hash_of(right));
+      return std::make_tuple(cold(left), members_per_share(left), !warm(left), hash_of(left)) <
+             std::make_tuple(cold(right), members_per_share(right), !warm(right), hash_of(right));
     });
   while (members.size() < size && !outside.empty()) {
-    auto entrant =
+    auto added =
         std::min_element(outside.begin(), outside.end(), [&](const std::string& left, const std::string& right) {
-          auto crowd = [&](const std::string& name) {
-            return static_cast<double>(in_zone[zone(name)] + (in_zone[zone(name)] > 0)) / share[zone(name)];
+          auto members_per_share = [&](const std::string& name) {
+            return static_cast<double>(members_in_zone[zone(name)] + (members_in_zone[zone(name)] > 0)) /
+                   zone_shares[zone(name)];
           };
-          return std::make_tuple(cold(left), crowd(left), hash_of(left)) <
-                 std::make_tuple(cold(right), crowd(right), hash_of(right));
+          return std::make_tuple(cold(left), members_per_share(left), hash_of(left)) <
+                 std::make_tuple(cold(right), members_per_share(right), hash_of(right));
         });
-    ++in_zone[zone(*entrant)];
-    members.push_back(*entrant);
-    outside.erase(entrant);
+    ++members_in_zone[zone(*added)];
+    members.push_back(*added);
+    outside.erase(added);
   }
   std::sort(members.begin(), members.end());
   return {members.begin(), members.end()};
 }
 
-// Where half of the members or more have failed of late, and take only the share of their ramp, as many others stand in
-// for them: the law sees the load too late, and counts their slots as whole.
-std::size_t CircleDuty::substitutes_for(const std::vector<RunnerId>& members, const State& state, Duration ramp,
-                                        TimePoint now) {
-  const auto shaken = static_cast<std::size_t>(std::count_if(
-      members.begin(), members.end(), [&](const RunnerId& member) { return state.shaken(member.text, ramp, now); }));
-  const std::size_t wanted = members.size() - std::min(members.size(), state.substitutes);
-  return shaken * 2 >= wanted ? shaken : 0;
+// If at least half of the members failed recently, they take only the reduced share of their ramp, so the same number
+// of extra members is added. The PI controller would react too late, and it counts the slots of such members in full.
+std::size_t CircleDuty::extra_members_for(const std::vector<RunnerId>& members, const State& state, Duration ramp,
+                                          TimePoint now) {
+  const auto failed_count =
+      static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [&](const RunnerId& member) {
+        return state.failed_recently(member.text, ramp, now);
+      }));
+  const std::size_t wanted = members.size() - std::min(members.size(), state.extra_members);
+  return failed_count * 2 >= wanted ? failed_count : 0;
 }
 
-// A ramp begins with a new member, one that was started anew and one that failed or came back, and lasts from when the
-// circle tells it: daemons that did not see the failure themselves begin it then.
-void CircleDuty::follow_ramps(const Table<Runner>& runners, Duration ramp, const Circle& before, State& state,
+// A ramp begins when a runner becomes a member, is restarted, fails or becomes reachable again. Its duration counts
+// from the decision that lists it, because daemons that did not see the failure themselves begin the ramp at that
+// point.
+void CircleDuty::update_ramps(const Table<Runner>& runners, Duration ramp, const Circle& before, State& state,
                               TimePoint now, Circle& next) {
   next.warm.clear();
   next.generations.clear();
@@ -97,11 +105,11 @@
     const std::string& name = member.text;
     const std::uint64_t generation = runners.at(name).spec.generation;
     const auto known = before.generations.find(name);
-    const bool anew = before.has(name) && (known == before.generations.end() ? 0 : known->second) != generation;
-    if (anew) state.entered[name] = now;
+    const bool restarted = before.has(name) && (known == before.generations.end() ? 0 : known->second) != generation;
+    if (restarted) state.entered[name] = now;
     const TimePoint entered = state.entered.try_emplace(name, now).first->second;
-    const bool shaken = state.shaken(name, ramp, now);
-    const TimePoint cause = shaken ? std::max(entered, state.failed.at(name)) : entered;
+    const bool recently_failed = state.failed_recently(name, ramp, now);
+    const TimePoint cause = recently_failed ? std::max(entered, state.failed.at(name)) : entered;
     Ramp& latest = state.ramps[name];
     const auto count = before.ramps.find(name);
     next.ramps[name] = count == before.ramps.end() ? 0 : count->second;
@@ -109,22 +117,23 @@
       latest = Ramp{cause, now};
       ++next.ramps[name];
     }
-    const bool over = now - entered >= ramp && now - latest.told >= ramp;
-    if (!shaken && !anew && (before.bears(name, generation) || over)) next.warm.push_back(member);
+    const bool ramp_over = now - entered >= ramp && now - latest.announced >= ramp;
+    if (!recently_failed && !restarted && (before.bears(name, generation) || ramp_over)) next.warm.push_back(member);
     if (generation > 0) next.generations[name] = generation;
   }
 }
 
-// More are counted at once, fewer only where it stays so: the shares of those that are away a moment are not given
-// away.
-std::uint32_t CircleDuty::count_daemons(const Members& members, const Circle& before, State& state, TimePoint now) {
+// A rise in the number of daemons counts at once, a drop only once it has lasted: the shares of daemons that are
+// unreachable for a moment are not given to others.
+std::uint32_t CircleDuty::count_routing_daemons(const Members& members, const Circle& before, State& state,
+                                                TimePoint now) {
   const auto routing = static_cast<std::uint32_t>(members.routing());
   if (routing >= before.daemons) {
-    state.fewer_since.reset();
+    state.fewer_daemons_since.reset();
     return routing;
   }
-  if (!state.fewer_since) state.fewer_since = now;
-  return now - *state.fewer_since >= fewer_span ? routing : before.daemons;
+  if (!state.fewer_daemons_since) state.fewer_daemons_since = now;
+  return now - *state.fewer_daemons_since >= fewer_daemons_delay ? routing : before.daemons;
 }
 
 }  // namespace mothwalk
--- a/source/circle/placers.cpp
+++ b/source/circle/placers.cpp
@@ -1,4 +1,5 @@
-// Who places items of lots: a placer for each runner outside the circle, and for the members that lots share.
+// Assigns placers, the daemons that dispatch items of lots, to the runners outside the circle and to those members that
+// take items as well.
 #include <algorithm>
 
 #include "circle/internals.hpp"
@@ -7,96 +8,100 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Duration appoint_after = milliseconds(1000);
-constexpr Duration share_after = milliseconds(1000);      // that no runner is outside before members take items
-constexpr Duration share_kept = std::chrono::seconds(5);  // after lots had use for it last
+// A new owner of the circle keeps the stored placers for this long, until it knows which daemons are alive.
+constexpr Duration assignment_delay = milliseconds(1000);
+// How long every available runner has to be a member before members take items of lots.
+constexpr Duration lot_sharing_delay = milliseconds(1000);
+// How long members may take items after lots last needed them.
+constexpr Duration lot_sharing_retention = std::chrono::seconds(5);
 }  // namespace
 
-// With no runner outside, lots would wait for as long as that lasts, which is for ever where a kind has one runner or
-// keeps all in its circle. What a member may be given of them beside its prompts is bounded where items are placed.
-std::set<std::string> CircleDuty::shared_with_lots(const Table<Runner>& runners, const Kind& kind,
-                                                   const std::set<std::string>& able, const Circle& next,
-                                                   const Observed& seen, State& state, TimePoint now) {
-  if (able.empty() || next.members.size() < able.size()) {
-    state.all_inside_since.reset();
-    state.shared_for.reset();
+// While no runner is outside the circle, lots would otherwise wait. That lasts forever if a kind has only one runner or
+// keeps all of its runners in the circle. The placer bounds how many items a member gets in addition to its prompts.
+std::set<std::string> CircleDuty::members_shared_with_lots(const Table<Runner>& runners, const Kind& kind,
+                                                           const std::set<std::string>& available, const Circle& next,
+                                                           const LoadSummary& summary, State& state, TimePoint now) {
+  if (available.empty() || next.members.size() < available.size()) {
+    state.all_members_since.reset();
+    state.last_lot_use.reset();
     return {};
   }
-  if (!state.all_inside_since) state.all_inside_since = now;
+  if (!state.all_members_since) state.all_members_since = now;
   const bool running = std::any_of(next.members.begin(), next.members.end(), [&](const RunnerId& member) {
-    const auto total = seen.totals.find(member.text);
-    return total != seen.totals.end() && total->second.items > 0 && next.placers.contains(member.text);
+    const auto total = summary.totals.find(member.text);
+    return total != summary.totals.end() && total->second.items > 0 && next.placers.contains(member.text);
   });
-  if (running || seen.lots_wait()) state.shared_for = now;
-  const bool wanted = state.shared_for && now - *state.shared_for < share_kept;
-  if (!wanted || now - *state.all_inside_since < share_after) return {};
-  std::vector<std::string> order(able.begin(), able.end());
+  if (running || summary.has_waiting_lots()) state.last_lot_use = now;
+  const bool wanted = state.last_lot_use && now - *state.last_lot_use < lot_sharing_retention;
+  if (!wanted || now - *state.all_members_since < lot_sharing_delay) return {};
+  std::vector<std::string> order(available.begin(), available.end());
   auto rank = [&](const std::string& name) {
     const bool cold = runners.at(name).spec.cold > Duration{};
     return std::make_tuple(cold, !next.placers.contains(name), hash_of(name));
   };
   std::sort(order.begin(), order.end(),
             [&](const std::string& left, const std::string& right) { return rank(left) < rank(right); });
-  std::set<std::string> shared;
-  double room = 0;
+  std::set<std::string> shared_members;
+  double capacity = 0;
   for (const auto& name : order) {
-    if (!shared.empty() && room >= seen.lots.at_once) break;
-    shared.insert(name);
-    room += items_beside_prompts(kind, runners.at(name).spec);
+    if (!shared_members.empty() && capacity >= summary.lots.at_once) break;
+    shared_members.insert(name);
+    capacity += items_beside_prompts(kind, runners.at(name).spec);
   }
-  return shared;
+  return shared_members;
 }
 
-// Each runner outside has one placer, and each member that lots share: the one it had while that one lives, else
-// another, under a higher term. Where some daemons keep nothing but lots, these place: in the runner's zone first, and
-// evenly.
-void CircleDuty::appoint(const ConfigurationView& configuration, const Members& members,
-                         const std::set<std::string>& able, const std::set<std::string>& shared, const State& state,
-                         Circle& next) const {
-  const bool settled = messenger_.timers().now() - state.since > appoint_after;
-  std::map<Address, std::size_t> busy;
+// Each runner outside the circle, and each member that takes items, has one placer. It keeps its placer while that
+// daemon is alive, and otherwise gets another one under a higher term. If some daemons keep only lots, the placers are
+// chosen among them, evenly and preferably in the runner's zone.
+void CircleDuty::assign_placers(const ConfigurationView& configuration, const Members& members,
+                                const std::set<std::string>& available, const std::set<std::string>& shared_members,
+                                const State& state, Circle& next) const {
+  const bool startup_over = messenger_.timers().now() - state.started > assignment_delay;
+  std::map<Address, std::size_t> lot_daemons;
   for (const auto& [address, member] : members.all)
-    if (member.keeps == "lots") busy[address] = 0;
+    if (member.keeps == "lots") lot_daemons[address] = 0;
   const std::set<std::string> inside = names_of(next.members);
-  const bool warm_outside = std::any_of(able.begin(), able.end(), [&](const std::string& name) {
+  const bool warm_outside = std::any_of(available.begin(), available.end(), [&](const std::string& name) {
     return !inside.contains(name) && configuration.runners.at(name).spec.cold <= Duration{};
   });
   std::map<std::string, Placer> placers;
-  std::vector<std::string> open;
-  for (const auto& name : able) {
-    if ((inside.contains(name) && !shared.contains(name)) ||
+  std::vector<std::string> unassigned;
+  for (const auto& name : available) {
+    if ((inside.contains(name) && !shared_members.contains(name)) ||
         (warm_outside && configuration.runners.at(name).spec.cold > Duration{}))
       continue;
-    auto had = next.placers.find(name);
-    auto member = had == next.placers.end() ? members.all.end() : members.all.find(had->second.address);
-    const bool lives = member != members.all.end() && member->second.incarnation == had->second.incarnation &&
-                       (busy.empty() || busy.contains(member->first));
-    if (had != next.placers.end() && (lives || !settled)) {
-      placers[name] = had->second;
-      if (auto found = busy.find(had->second.address); found != busy.end()) ++found->second;
+    auto previous = next.placers.find(name);
+    auto member = previous == next.placers.end() ? members.all.end() : members.all.find(previous->second.address);
+    const bool alive = member != members.all.end() && member->second.incarnation == previous->second.incarnation &&
+                       (lot_daemons.empty() || lot_daemons.contains(member->first));
+    if (previous != next.placers.end() && (alive || !startup_over)) {
+      placers[name] = previous->second;
+      if (auto found = lot_daemons.find(previous->second.address); found != lot_daemons.end()) ++found->second;
     } else {
-      open.push_back(name);
+      unassigned.push_back(name);
     }
   }
-  const std::size_t share = busy.empty() ? 0 : (placers.size() + open.size() + busy.size() - 1) / busy.size();
-  for (const auto& name : open) {
+  const std::size_t fair_share =
+      lot_daemons.empty() ? 0 : (placers.size() + unassigned.size() + lot_daemons.size() - 1) / lot_daemons.size();
+  for (const auto& name : unassigned) {
     const ZoneId& zone = configuration.runners.at(name).spec.zone;
-    const Member* first = nullptr;
+    const Member* chosen = nullptr;
     const auto order = duty_order(members, "place/" + name, zone);
     auto rank = [&](const Member* member) {
-      const std::size_t taken = busy.at(member->address);
-      return std::make_tuple(taken >= share, member->zone != zone, taken);
+      const std::size_t assigned = lot_daemons.at(member->address);
+      return std::make_tuple(assigned >= fair_share, member->zone != zone, assigned);
     };
     for (const Member* member : order) {
-      if (busy.empty()) {
-        first = member;
+      if (lot_daemons.empty()) {
+        chosen = member;
         break;
       }
-      if (busy.contains(member->address) && (first == nullptr || rank(member) < rank(first))) first = member;
+      if (lot_daemons.contains(member->address) && (chosen == nullptr || rank(member) < rank(chosen))) chosen = member;
     }
-    if (first == nullptr) continue;
-    if (!busy.empty()) ++busy[first->address];
-    placers[name] = Placer{first->address, first->incarnation, ++next.term};
+    if (chosen == nullptr) continue;
+    if (!lot_daemons.empty()) ++lot_daemons[chosen->address];
+    placers[name] = Placer{chosen->address, chosen->incarnation, ++next.term};
   }
   next.placers = std::move(placers);
 }
--- a/tests/circle_duty_test.cpp
+++ b/tests/circle_duty_test.cpp
@@ -1,4 +1,5 @@
-// The circle duty over a kept state and reports that the test plays: what it decides where little is known.
+// Tests CircleDuty with a simulated clock and store, and with load reports sent by the test. Many cases concern
+// decisions on incomplete data.
 #include <catch2/catch.hpp>
 
 #include "circle/circle.hpp"
@@ -42,7 +43,7 @@
       put("runner/" + std::to_string(index),
           R"({"kind":"model","address":"10.0.1.)" + std::to_string(index) + R"(:80","zone":"north","slots":4})");
   }
-  void forget_runners() {
+  void clear_runners() {
     view.runners.clear();
     shared_state.configuration.set(view);
   }
@@ -58,9 +59,10 @@
     messenger.take(Envelope{Address("10.0.0.1:1"), 7, "circle", "lots", std::string(KindPending::kind), 0, false,
                             to_cbor(lots), protocol_number});
   }
-  // Reports each second that all members together have so many prompts open.
-  void run(Duration span, std::uint32_t open_each, std::uint32_t queued = 0) {
-    for (const TimePoint end = world.now() + span; world.now() < end; world.run_until(world.now() + milliseconds(500)))
+  // Every half second, each routing daemon reports so many open prompts for each member of the circle.
+  void run(Duration duration, std::uint32_t open_each, std::uint32_t queued = 0) {
+    for (const TimePoint end = world.now() + duration; world.now() < end;
+         world.run_until(world.now() + milliseconds(500)))
       for (const auto& [address, each] : members.all) {
         if (!each.routes()) continue;
         LoadReport load;
@@ -99,7 +101,7 @@
 
 }  // namespace
 
-TEST_CASE("a circle made before any runner was known takes in all but the reserve as they come to be known") {
+TEST_CASE("a circle created before any runner is known adds all runners except the reserve once they are known") {
   CircleFixture fixture;
   fixture.put("kind/model", model_kind);
   fixture.duty.start();
@@ -113,23 +115,23 @@
   CHECK(fixture.circle().members.size() == 18);
 }
 
-TEST_CASE("a cycle that saw no prompt does not shrink the circle; load that is seen does, and so does a long silence") {
+TEST_CASE("a cycle without prompts does not shrink the circle; measured load and a long idle time do") {
   CircleFixture fixture;
   fixture.put("kind/model", model_kind);
   fixture.list_runners(20);
   fixture.duty.start();
   fixture.run(seconds(10), 1);
-  const std::size_t seen = fixture.circle().members.size();
-  CHECK(seen < 18);
-  CHECK(seen >= 2);
+  const std::size_t size_with_load = fixture.circle().members.size();
+  CHECK(size_with_load < 18);
+  CHECK(size_with_load >= 2);
   fixture.run(seconds(30), 0);
-  const std::size_t silent = fixture.circle().members.size();
-  CHECK(silent + 4 >= seen);
+  const std::size_t size_after_idle = fixture.circle().members.size();
+  CHECK(size_after_idle + 4 >= size_with_load);
   fixture.run(seconds(90), 0);
   CHECK(fixture.circle().members.size() == 2);
 }
 
-TEST_CASE("after a restart a circle keeps its members and their warmth until the list of runners has come") {
+TEST_CASE("after a restart a circle keeps its members and their warm state until the list of runners is received") {
   CircleFixture fixture;
   fixture.put("kind/model", model_kind);
   fixture.list_runners(20);
@@ -138,7 +140,7 @@
   const auto members = fixture.circle().members;
   REQUIRE(!members.empty());
   REQUIRE(fixture.circle().warm == members);
-  fixture.forget_runners();
+  fixture.clear_runners();
   fixture.own(2);
   fixture.run(seconds(2), 0);
   CHECK(fixture.circle().members == members);
@@ -148,7 +150,7 @@
   CHECK(fixture.circle().warm == members);
 }
 
-TEST_CASE("members that route no prompts are not missed: the circle shrinks without their reports") {
+TEST_CASE("the circle shrinks without waiting for reports of daemons that route no prompts") {
   CircleFixture fixture;
   fixture.put("kind/model", model_kind);
   for (const char* address : {"10.0.0.2:1", "10.0.0.3:1"}) fixture.member(address, false);
@@ -158,14 +160,14 @@
   CHECK(fixture.circle().members.size() < 12);
 }
 
-TEST_CASE("an overloaded circle grows by all that is missing in one early cycle") {
+TEST_CASE("an overloaded circle grows by all missing runners in one early cycle") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"cycle":60000,"floor":2,"reserve":2,"ramp":500,"target":0.6}})");
   fixture.put("circle/model", R"({"members":["1","2","3","4"],"warm":["1","2","3","4"],"cycle":5,"law":4})");
   fixture.list_runners(60);
   fixture.duty.start();
   std::size_t before = 4, after = 4;
-  // 16 prompts run and 14 wait: 30 of 16 slots, so that at 0.6 of their slots 12 or 13 runners would bear them.
+  // 16 prompts run and 14 wait for 16 slots. At the target load of 0.6 these 30 prompts need 12 or 13 runners.
   for (int step = 0; step < 20 && after == 4; ++step) {
     fixture.run(milliseconds(500), 4, 14);
     before = std::exchange(after, fixture.circle().members.size());
@@ -174,7 +176,7 @@
   CHECK(after >= 12);
 }
 
-TEST_CASE("the circle tells how many daemons route, and goes on telling it when they are away for a moment") {
+TEST_CASE("the circle states how many daemons route, and keeps the number while daemons are briefly unreachable") {
   CircleFixture fixture;
   fixture.put("kind/model", model_kind);
   for (int index = 2; index <= 6; ++index) fixture.member("10.0.0." + std::to_string(index) + ":1", index < 6);
@@ -190,7 +192,7 @@
   CHECK(fixture.circle().daemons == 2);
 }
 
-TEST_CASE("more connections to a runner than it takes, over all daemons, are counted once a time") {
+TEST_CASE("if all daemons together exceed a runner's connection limit, this is counted once per occasion") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"connections":10,"circle":{"all":true}})");
   fixture.list_runners(2);
@@ -215,7 +217,7 @@
   CHECK(fixture.duty.counts().connections_over_limit == 2);
 }
 
-TEST_CASE("lots get runners where there are no more of them than the floor") {
+TEST_CASE("lots get runners even if there are no more runners than the floor") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"cycle":2000,"floor":4,"reserve":4,"ramp":500,"target":0.6}})");
   fixture.list_runners(4);
@@ -229,24 +231,24 @@
   CHECK(fixture.circle().members.size() == 2);
 }
 
-TEST_CASE("lots without a due time do not wait a minute for the runners of a circle that gets no prompts") {
+TEST_CASE("lots without a deadline do not wait a minute for the runners of a circle that gets no prompts") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"cycle":2000,"floor":2,"reserve":1,"ramp":500,"target":0.6}})");
   fixture.list_runners(6);
   fixture.duty.start();
   fixture.run(seconds(6), 4);
-  const auto wait_without_prompts = [&fixture](int span) {
-    for (int second = 0; second < span; ++second) {
+  const auto run_without_prompts = [&fixture](int duration_seconds) {
+    for (int second = 0; second < duration_seconds; ++second) {
       fixture.report_pending_items(400, 0);
       fixture.run(seconds(1), 0);
     }
     return fixture.circle().members.size();
   };
-  CHECK(wait_without_prompts(8) == 5);
-  CHECK(wait_without_prompts(16) == 2);
+  CHECK(run_without_prompts(8) == 5);
+  CHECK(run_without_prompts(16) == 2);
 }
 
-TEST_CASE("a ramp lasts from when the circle tells it, not from a failure that it heard of late") {
+TEST_CASE("a ramp counts from the decision that announces it, not from a failure that was reported late") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"all":true,"ramp":1000}})");
   fixture.list_runners(2);
@@ -262,7 +264,7 @@
   CHECK(fixture.circle().warm.size() == 2);
 }
 
-TEST_CASE("a runner that is back begins one ramp, not one more with each daemon that learns of it late") {
+TEST_CASE("a recovered runner begins one ramp, not another one with each daemon that learns of the recovery late") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"all":true,"ramp":1000}})");
   fixture.list_runners(2);
@@ -285,95 +287,95 @@
   for (int daemon = 2; daemon <= 9; ++daemon) report(daemon, milliseconds(400 * daemon), true);
   CHECK(fixture.circle().ramps.at("1") == returned);
   CHECK(fixture.circle().warm.size() == 2);
-  // It fails anew.
+  // The runner fails a second time.
   report(3, Duration{}, false);
   CHECK(fixture.circle().ramps.at("1") > returned);
 }
 
 namespace {
 
-// A kind whose lots have items for two slots; a third of the runs' time goes by between two reports of them.
+// A kind of runner with waiting lots whose items need two slots. The test reports them before each second of a run.
 struct WaitingLotsFixture : CircleFixture {
   WaitingLotsFixture(const Bytes& kind, int runners) {
     put("kind/model", kind);
     list_runners(runners);
     duty.start();
   }
-  void run_beside_lots(int spans, std::uint32_t open_each) {
-    for (int span = 0; span < spans; ++span) {
+  void run_with_waiting_lots(int seconds_to_run, std::uint32_t open_each) {
+    for (int second = 0; second < seconds_to_run; ++second) {
       report_pending_items(9, 2);
       run(seconds(1), open_each);
     }
   }
-  std::size_t shared() const {
+  std::size_t shared_members() const {
     return static_cast<std::size_t>(std::count_if(circle().members.begin(), circle().members.end(),
                                                   [&](const RunnerId& name) { return circle().shares(name.text); }));
   }
 };
 
-const char* whole_kind = R"({"circle":{"cycle":2000,"all":true,"ramp":500}})";
+const char* kind_without_reserve = R"({"circle":{"cycle":2000,"all":true,"ramp":500}})";
 
 }  // namespace
 
-// Guards against: lots of a kind with one runner, which is its circle, were accepted and never run.
-TEST_CASE("the only runner of a kind takes items of lots beside its prompts while lots wait") {
+// Guards against lots that are accepted but never run because the only runner of the kind is a member of the circle.
+TEST_CASE("the only runner of a kind takes items of lots in addition to its prompts while lots wait") {
   WaitingLotsFixture fixture(model_kind, 1);
   fixture.run(seconds(3), 0);
   CHECK(fixture.circle().members.size() == 1);
-  CHECK(fixture.shared() == 0);
+  CHECK(fixture.shared_members() == 0);
   for (const std::uint32_t open_each : {0u, 2u}) {
-    fixture.run_beside_lots(4, open_each);
+    fixture.run_with_waiting_lots(4, open_each);
     CHECK(fixture.circle().members.size() == 1);
-    CHECK(fixture.shared() == 1);
+    CHECK(fixture.shared_members() == 1);
   }
   fixture.run(seconds(12), 0);
-  CHECK(fixture.shared() == 0);
+  CHECK(fixture.shared_members() == 0);
 }
 
-// Guards against: the same for a kind that keeps all of its runners in the circle.
-TEST_CASE("a kind that is all circle gives lots as many members as they need, and another placer when one is lost") {
-  WaitingLotsFixture fixture(whole_kind, 5);
-  fixture.run_beside_lots(4, 1);
+// Guards against the same fault in a kind that keeps all of its runners in the circle.
+TEST_CASE("a kind with all runners in the circle gives lots the members they need, and replaces a lost placer") {
+  WaitingLotsFixture fixture(kind_without_reserve, 5);
+  fixture.run_with_waiting_lots(4, 1);
   CHECK(fixture.circle().members.size() == 5);
-  CHECK(fixture.shared() == 1);
+  CHECK(fixture.shared_members() == 1);
   fixture.report_pending_items(40, 7);
   fixture.run(seconds(1), 1);
-  CHECK(fixture.shared() == 4);
+  CHECK(fixture.shared_members() == 4);
   const auto placers = fixture.circle().placers;
   fixture.member("10.0.0.2:1", true);
   fixture.members.all.erase(Address("10.0.0.1:1"));
   fixture.shared_state.members.set(fixture.members);
-  fixture.run_beside_lots(2, 1);
-  REQUIRE(fixture.shared() >= 1);
+  fixture.run_with_waiting_lots(2, 1);
+  REQUIRE(fixture.shared_members() >= 1);
   for (const auto& [runner, placer] : fixture.circle().placers) {
     CHECK(placer.address.text == "10.0.0.2:1");
     CHECK(placer.term > placers.at(runner).term);
   }
 }
 
-TEST_CASE("items that run on a member keep their placer until they have ended, though no lot waits any more") {
+TEST_CASE("items running on a member keep their placer until they end, even if no lot waits any more") {
   WaitingLotsFixture fixture(model_kind, 1);
-  fixture.run_beside_lots(4, 0);
-  REQUIRE(fixture.shared() == 1);
+  fixture.run_with_waiting_lots(4, 0);
+  REQUIRE(fixture.shared_members() == 1);
   for (int second = 0; second < 12; ++second) {
     LoadReport items;
     items.items = true;
     items.runners["1"].open = 2;
     fixture.report("10.0.0.1:1", items);
     fixture.run(seconds(1), 0);
-    CHECK(fixture.shared() == 1);
+    CHECK(fixture.shared_members() == 1);
   }
 }
 
-TEST_CASE("no member takes items while a runner is outside the circle, and all do their share where prompts need all") {
+TEST_CASE("no member takes items while a runner is outside the circle; members do if prompts need all runners") {
   WaitingLotsFixture fixture(model_kind, 2);
-  fixture.run_beside_lots(6, 0);
+  fixture.run_with_waiting_lots(6, 0);
   CHECK(fixture.circle().members.size() == 1);
-  CHECK(fixture.shared() == 0);
+  CHECK(fixture.shared_members() == 0);
   CHECK(fixture.circle().placers.size() == 1);
-  // Prompts for more than one runner at medium load: both are members, and under half full.
-  fixture.run_beside_lots(12, 4);
-  fixture.run_beside_lots(6, 2);
+  // The prompts need more than one runner at medium load: both become members, at most half of whose slots are in use.
+  fixture.run_with_waiting_lots(12, 4);
+  fixture.run_with_waiting_lots(6, 2);
   CHECK(fixture.circle().members.size() == 2);
-  CHECK(fixture.shared() >= 1);
+  CHECK(fixture.shared_members() >= 1);
 }
