--- a/source/sessions/member_changes.cpp
+++ b/source/sessions/member_changes.cpp
@@ -1,4 +1,4 @@
-// Differences of tables of members and the digests that name their states.
+// Computes the differences between tables of members and the digests that identify their states.
 #include "sessions/member_changes.hpp"
 
 #include <algorithm>
@@ -39,23 +39,23 @@
 }
 
 void MemberHistory::add(std::uint64_t digest_before, const MemberChanges& changes) {
-  Step step{digest_before, changes.gone};
-  for (const Member& member : changes.members) step.changed.push_back(member.address);
-  addresses_ += step.changed.size();
-  steps_.push_back(std::move(step));
-  while (addresses_ > longest) {
-    addresses_ -= steps_.front().changed.size();
-    steps_.pop_front();
+  Change change{digest_before, changes.gone};
+  for (const Member& member : changes.members) change.changed.push_back(member.address);
+  address_count_ += change.changed.size();
+  changes_.push_back(std::move(change));
+  while (address_count_ > max_addresses) {
+    address_count_ -= changes_.front().changed.size();
+    changes_.pop_front();
   }
 }
 
 std::optional<MemberChanges> MemberHistory::since(std::uint64_t digest, const MemberTable& table) const {
-  const auto from =
-      std::find_if(steps_.rbegin(), steps_.rend(), [&](const Step& step) { return step.digest_before == digest; });
-  if (from == steps_.rend()) return std::nullopt;
+  const auto from = std::find_if(changes_.rbegin(), changes_.rend(),
+                                 [&](const Change& change) { return change.digest_before == digest; });
+  if (from == changes_.rend()) return std::nullopt;
   std::set<Address> changed;
-  for (auto step = std::prev(from.base()); step != steps_.end(); ++step)
-    changed.insert(step->changed.begin(), step->changed.end());
+  for (auto change = std::prev(from.base()); change != changes_.end(); ++change)
+    changed.insert(change->changed.begin(), change->changed.end());
   MemberChanges changes;
   for (const Address& address : changed) {
     const auto member = table.find(address);
--- a/source/sessions/sessions.hpp
+++ b/source/sessions/sessions.hpp
@@ -1,9 +1,10 @@
-// Membership: a daemon is a member while its session with a control daemon (one that keeps control state) stands. A
-// member beats to its home control daemon; control daemons share their sessions with each other, and so all know all.
-// Beats and shares name the digest of what the other side knows and are answered with what changed since.
-// A control daemon that is not in touch with a majority of the roster accepts no beat: its members go to another home.
-// Any other daemon remembers the control daemons that it heard of and names them to who asks, so that the seeds may be
-// any.
+// Cluster membership. A daemon is a member while it has a session with a control daemon, which is a daemon that keeps
+// control state. Each member sends heartbeats to one control daemon, its session server. Control daemons exchange their
+// sessions with each other, so that each of them knows all members.
+// Heartbeats and session exchanges carry the digest of what the receiver is known to have, so that only changes are
+// sent. A control daemon that is not in contact with a majority of the voters accepts no heartbeat; its members then
+// move to another session server. Every other daemon remembers the control daemons that were named to it and names them
+// in turn, so that any daemon can serve as a seed.
 #pragma once
 #include "sessions/member_changes.hpp"
 #include "sessions/messenger.hpp"
@@ -12,84 +13,96 @@
 
 struct HeartbeatReply {
   bool accepted = false;
-  bool whole = false;        // the changes are all members of the home, not what moved since the beat's digest
-  std::uint64_t before = 0;  // the beat's digest
-  std::uint64_t digest = 0;  // of the home's members
+  // Whether `changes` lists all members that the session server knows, instead of the changes since `base_digest`.
+  bool complete = false;
+  std::uint64_t base_digest = 0;  // The digest that the heartbeat carried.
+  std::uint64_t digest = 0;       // The digest of the session server's table of members.
   MemberChanges changes;
-  std::vector<Member> control_daemons;  // those known to one that accepts no beat
-  MOTHWALK_FIELDS(accepted, whole, before, digest, changes, control_daemons)
+  std::vector<Member> control_daemons;  // If the heartbeat is not accepted: the control daemons known to the replier.
+  MOTHWALK_FIELDS_AS("accepted", accepted, "whole", complete, "before", base_digest, "digest", digest, "changes",
+                     changes, "control_daemons", control_daemons)
 };
 struct Heartbeat {
   static constexpr StringView kind = "sessions.beat";
   using Reply = HeartbeatReply;
-  Member member;
-  std::uint64_t digest = 0;
+  Member member;             // The sender.
+  std::uint64_t digest = 0;  // The digest of the sender's table of members.
   MOTHWALK_FIELDS(member, digest)
 };
-// The sessions of a control daemon: all of them, or what moved since its last share.
+// The sessions of a control daemon: all of them, or the changes since its last exchange.
 struct SessionExchange {
   static constexpr StringView kind = "sessions.share";
-  Member member;
-  bool whole = false;
-  std::uint64_t before = 0, digest = 0;
+  Member member;          // The sender.
+  bool complete = false;  // Whether `changes` lists all sessions.
+  // The digests of the sender's sessions before and after the changes.
+  std::uint64_t base_digest = 0, digest = 0;
   MemberChanges changes;
-  MOTHWALK_FIELDS(member, whole, before, digest, changes)
+  MOTHWALK_FIELDS_AS("member", member, "whole", complete, "before", base_digest, "digest", digest, "changes", changes)
 };
-// Asks for a whole share: the last one did not go on from what is known here.
+// Requests a complete exchange, because the last one was relative to a state that the receiver does not have.
 struct SessionExchangeRequest {
   static constexpr StringView kind = "sessions.share_request";
-  bool whole = true;
-  MOTHWALK_FIELDS(whole)
+  bool complete = true;
+  MOTHWALK_FIELDS_AS("whole", complete)
 };
 
-// Names control daemons to one that does not know them.
+// Names control daemons to a daemon that may not know them.
 struct Introduction {
   static constexpr StringView kind = "sessions.introduction";
   std::vector<Member> members;
   MOTHWALK_FIELDS(members)
 };
 
+// Keeps this daemon's session and, on a control daemon, the sessions of other daemons. Publishes the table of members
+// in the shared state.
 class Sessions {
  public:
   Sessions(Messenger& messenger, SharedState& shared_state, Member self, std::vector<Address> seeds);
   void start();
 
  private:
-  static constexpr Duration beat_span = std::chrono::milliseconds(200);
-  static constexpr Duration stand_span = std::chrono::milliseconds(900);
-  static constexpr Duration remembered_span = std::chrono::seconds(5);
-  static constexpr std::uint64_t ticks_to_seeds = 10;
-  static constexpr Duration contact_slack = std::chrono::milliseconds(300);  // past a lease, before slots are given up
-  static constexpr std::size_t search_width = 3;  // candidates that are asked at once for a home
+  static constexpr Duration heartbeat_interval = std::chrono::milliseconds(200);
+  // A session or a peer that sent nothing for this long is removed.
+  static constexpr Duration session_timeout = std::chrono::milliseconds(900);
+  // How long a control daemon that was named by another daemon stays a candidate.
+  static constexpr Duration named_daemon_retention = std::chrono::seconds(5);
+  // A control daemon with at least two peers contacts the seeds once in this many ticks.
+  static constexpr std::uint64_t ticks_between_seed_contacts = 10;
+  // A control daemon gives up its slots this long after its lease has expired.
+  static constexpr Duration contact_loss_grace = std::chrono::milliseconds(300);
+  // How many candidates for the session server receive a heartbeat at once.
+  static constexpr std::size_t parallel_candidates = 3;
   struct Session {
     Member member;
-    TimePoint heard;
+    TimePoint last_received;
   };
+  // Another control daemon, with the sessions that it sent.
   struct Peer {
     Member member;
-    TimePoint heard;
+    TimePoint last_received;
     MemberTable sessions;
     std::uint64_t digest = 0;
   };
-  bool control() const { return self_.keeps_control(); }
-  bool remember(const Member& member);
-  std::vector<Member> known_control() const;
+  bool is_control_daemon() const { return self_.keeps_control(); }
+  // Returns whether the control daemon was not known yet.
+  bool record_control_daemon(const Member& member);
+  std::vector<Member> known_control_daemons() const;
   void tick();
-  bool out_of_contact() const;
-  bool may_be_home(const Member& member) const;
-  HeartbeatReply take_beat(const Address& from, Heartbeat beat);
-  void tell_changes(HeartbeatReply& reply) const;
-  void take_share(const Address& from, SessionExchange share);
-  void beat();
-  void beat_to(const Address& to);
-  void finish_beat(const Address& to, Result<HeartbeatReply> result);
-  bool has_home() const;
-  void lose_home(const Address& session_server);
-  void enter_home(const Address& session_server, const HeartbeatReply& reply);
-  bool take_members(const HeartbeatReply& reply);
-  void share();
-  void rebuild();
-  void publish(MemberTable table);
+  bool lost_majority_contact() const;
+  bool may_accept_session(const Member& member) const;
+  HeartbeatReply handle_heartbeat(const Address& from, Heartbeat heartbeat);
+  void add_member_changes(HeartbeatReply& reply) const;
+  void handle_exchange(const Address& from, SessionExchange exchange);
+  void send_heartbeats();
+  void send_heartbeat(const Address& to);
+  void handle_heartbeat_reply(const Address& to, Result<HeartbeatReply> result);
+  bool has_session_server() const;
+  void drop_session_server(const Address& session_server);
+  void use_session_server(const Address& session_server, const HeartbeatReply& reply);
+  bool apply_reply(const HeartbeatReply& reply);
+  void send_exchange();
+  void rebuild_table();
+  void publish_table(MemberTable table);
   void set_members(const Address& session_server, MemberTable all);
   std::vector<Address> candidates() const;
 
@@ -98,17 +111,17 @@
   Member self_;
   std::map<Address, Session> sessions_;
   std::map<Address, Peer> peers_;
-  std::map<Address, Session> heard_;  // control daemons that this one was told of
-  Address home_;
-  TimePoint home_heard_;
-  std::size_t turn_ = 0;
+  std::map<Address, Session> named_control_daemons_;  // Control daemons that were named or that contacted this daemon.
+  Address session_server_;                            // Empty if there is none.
+  TimePoint session_server_last_reply_;
+  std::size_t next_candidate_ = 0;  // The index of the candidate that gets the next heartbeat.
   std::uint64_t ticks_ = 0;
-  std::set<Address> asking_;  // beats under way
-  MemberTable table_;         // of a control daemon its own members, of any other one those of its home
-  std::uint64_t digest_ = 0;  // of that table
-  MemberHistory history_;     // of a control daemon
-  MemberTable shared_;        // sessions as they were shared last
-  std::uint64_t shared_digest_ = 0;
+  std::set<Address> heartbeats_in_flight_;  // The daemons whose reply to a heartbeat is pending.
+  MemberTable table_;         // All members: built here by a control daemon, else received from the session server.
+  std::uint64_t digest_ = 0;  // The digest of table_.
+  MemberHistory history_;     // The past changes of table_; used only by a control daemon.
+  MemberTable exchanged_;     // The sessions as last sent to the other control daemons.
+  std::uint64_t exchanged_digest_ = 0;
 };
 
 }  // namespace mothwalk
--- a/source/sessions/shared_state.cpp
+++ b/source/sessions/shared_state.cpp
@@ -1,4 +1,4 @@
-// The agreed orders: rendezvous hashing of slots over the roster's seats and of single duties over members.
+// Rendezvous hashing: orders the voters of the roster for each slot, and the members for each singleton role.
 #include "sessions/shared_state.hpp"
 
 #include <algorithm>
@@ -33,8 +33,8 @@
     if (member.keeps_control() && member.zone == zone) add(address);
   for (const auto& [address, member] : members->all)
     if (member.keeps_control()) add(address);
-  for (const auto snapshot = shared_state.configuration.get(); const auto& seat : snapshot->roster.seats)
-    add(seat.address);
+  for (const auto snapshot = shared_state.configuration.get(); const auto& voter : snapshot->roster.seats)
+    add(voter.address);
   for (const auto snapshot = shared_state.control_seats.get(); const auto& address : *snapshot) add(address);
   return list;
 }
@@ -49,7 +49,7 @@
 
 std::vector<const Voter*> slot_order(const Roster& roster, std::uint32_t slot) {
   std::vector<const Voter*> order;
-  for (const auto& seat : roster.seats) order.push_back(&seat);
+  for (const auto& voter : roster.seats) order.push_back(&voter);
   std::sort(order.begin(), order.end(), [&](const Voter* left, const Voter* right) {
     if (left->joining != right->joining) return right->joining;
     return hash_of(left->holder.text, slot + 1) > hash_of(right->holder.text, slot + 1);
@@ -58,17 +58,17 @@
 }
 
 const Voter* slot_owner(const Roster& roster, const Members& members, std::uint32_t slot) {
-  for (const Voter* seat : slot_order(roster, slot)) {
-    const Member* member = members.holder(seat->holder);
-    if (member != nullptr && !member->stalled) return seat;
+  for (const Voter* voter : slot_order(roster, slot)) {
+    const Member* member = members.holder(voter->holder);
+    if (member != nullptr && !member->stalled) return voter;
   }
   return nullptr;
 }
 
 const Voter* key_owner(const ConfigurationView& configuration, const Members& members, StringView key) {
-  const Voter* seat = slot_owner(configuration.roster_of(key), members, slot_of(key));
-  const Member* member = seat == nullptr ? nullptr : members.holder(seat->holder);
-  return member != nullptr && (lot_key(key) ? member->keeps_lots() : member->keeps_control()) ? seat : nullptr;
+  const Voter* voter = slot_owner(configuration.roster_of(key), members, slot_of(key));
+  const Member* member = voter == nullptr ? nullptr : members.holder(voter->holder);
+  return member != nullptr && (lot_key(key) ? member->keeps_lots() : member->keeps_control()) ? voter : nullptr;
 }
 
 std::vector<const Member*> duty_order(const Members& members, StringView duty, const ZoneId& zone) {
--- a/source/sessions/shared_state.hpp
+++ b/source/sessions/shared_state.hpp
@@ -1,5 +1,6 @@
-// What the duties of one daemon share, each piece behind a short lock: who the members are, the configuration in force,
-// which slots this daemon owns, and how fresh its news is. Readers take an unchanging snapshot.
+// State shared by the components of one daemon: the members, the configuration in force, the slots that this daemon
+// owns, and how current its configuration is. Each value has its own lock, which is held briefly, or is atomic. Readers
+// take an immutable snapshot.
 #pragma once
 #include <atomic>
 #include <mutex>
@@ -9,6 +10,7 @@
 
 namespace mothwalk {
 
+// A value that one thread replaces as a whole and others read as immutable snapshots.
 template <class T>
 class Shared {
  public:
@@ -18,9 +20,9 @@
     return value_;
   }
   void set(T value) {
-    auto fresh = std::make_shared<const T>(std::move(value));
+    auto snapshot = std::make_shared<const T>(std::move(value));
     std::lock_guard lock(mutex_);
-    value_ = std::move(fresh);
+    value_ = std::move(snapshot);
   }
 
  private:
@@ -28,18 +30,20 @@
   std::shared_ptr<const T> value_;
 };
 
+// A daemon of the cluster, as it describes itself.
 struct Member {
-  Address address;  // peer side
+  Address address;  // Where other daemons connect.
   ZoneId zone;
-  Address callers, control;  // HTTP sides
+  Address callers, control;  // The HTTP addresses for clients and for operators; empty if it has none.
   std::uint64_t incarnation = 0;
-  StorageNodeId holder;  // empty where the daemon has no data folder
-  bool stalled = false;  // it can own nothing: its disk does not answer, or it lost contact to a majority
-  Version roster;        // the roster version it knows; zero for none
-  std::string version;   // of the program
-  std::string keeps;     // what its folder holds: empty for control state and lots, or "control" or "lots" alone
-  std::string name;      // of the machine, where operators name one
-  bool routes() const { return !callers.empty(); }  // it serves callers, and so sends requests to runners
+  StorageNodeId holder;  // Its identity as a storage node; empty if it has no data folder.
+  bool stalled = false;  // It can own no slots: its disk does not respond, or it lost contact to a majority.
+  Version roster;        // The roster version that it knows; zero if it knows none.
+  std::string version;   // The version of its program.
+  std::string keeps;     // What its data folder keeps: "control", "lots", or both if empty.
+  std::string name;      // The name that operators gave to its machine, if any.
+  // Whether it serves clients, and so routes their requests to runners.
+  bool routes() const { return !callers.empty(); }
   bool keeps_control() const { return !holder.empty() && keeps != "lots"; }
   bool keeps_lots() const { return !holder.empty() && keeps != "control"; }
   auto operator<=>(const Member&) const = default;
@@ -48,20 +52,21 @@
 
 struct Members {
   std::map<Address, Member> all;
-  Address session_server;  // the control daemon that this daemon's session stands with
+  Address session_server;  // The control daemon that holds this daemon's session.
   std::size_t control_daemons = 0;
-  const Member* holder(const StorageNodeId& id) const;
-  std::size_t routing() const;  // how many of them route requests
+  const Member* holder(const StorageNodeId& id) const;  // The member with this identity as a storage node, if any.
+  std::size_t routing() const;                          // How many members route requests.
 };
 
+// The slots that this daemon owns, each with the epoch of its ownership. Keys are hashed onto the slots.
 struct Ownership {
   std::map<std::uint32_t, Epoch> slots;
 };
 
-// What all daemons together have on a runner, as the circle duty last told it.
+// What all daemons together have open on a runner, as last reported by the owner of the runner kind's circle.
 struct RunnerTotal {
-  std::uint32_t open = 0, items = 0;  // live prompts; items of lots
-  std::uint32_t foreign = 0;          // of the items, those placed by others than the runner's placer
+  std::uint32_t open = 0, items = 0;  // Live prompts, and items of lots (batches).
+  std::uint32_t foreign = 0;  // Those of the items that were dispatched by a daemon other than the runner's placer.
   MOTHWALK_FIELDS(open, items, foreign)
 };
 struct KindTotals {
@@ -70,29 +75,34 @@
 };
 
 struct SharedState {
-  Shared<std::vector<Address>> control_seats;  // those that this daemon's folder knows, before any news comes
-  Shared<std::vector<Address>> seeds;          // as the settings name them now
+  // The voters for control state by the data folder, for use before any configuration is received by gossip.
+  Shared<std::vector<Address>> control_seats;
+  Shared<std::vector<Address>> seeds;  // As in the current settings.
   Shared<Members> members;
   Shared<ConfigurationView> configuration;
   Shared<Ownership> owned;
-  Shared<std::map<std::string, KindTotals>> load;    // by kind
-  std::atomic<std::int64_t> lease_until{-1};         // Moment; news was known whole with a majority's control daemon
-  std::atomic<std::int64_t> lease_sought_since{-1};  // since when a lapsed lease is being sought
-  std::atomic<std::int64_t> gossip_tick{-1};         // when news last ran: after a freeze this is old
+  Shared<std::map<std::string, KindTotals>> load;  // By kind of runner.
+  // These times are those of TimePoint in microseconds; -1 stands for none. The lease is the permission to serve by the
+  // known configuration. It is renewed when a comparison with a control daemon in contact with a majority shows that
+  // the configuration is complete.
+  std::atomic<std::int64_t> lease_until{-1};
+  std::atomic<std::int64_t> lease_sought_since{-1};  // Since when this daemon tries to renew an expired lease.
+  std::atomic<std::int64_t> gossip_tick{-1};         // When gossip last ran. It is old after the process was suspended.
   std::atomic<bool> stalled{false};
   std::atomic<bool> draining{false};
   bool has_lease(TimePoint now) const { return lease_until.load() >= now.microseconds; }
-  bool was_ever_fresh() const { return lease_until.load() >= 0; }  // once at least in this life
-  // A lapsed lease was sought in vain for so long that the newest configuration known stays in force.
+  // Whether this process has ever had a lease.
+  bool was_ever_fresh() const { return lease_until.load() >= 0; }
+  // Whether the renewal of an expired lease has failed for so long that the newest known configuration stays in force.
   bool is_isolated(TimePoint now) const {
     const std::int64_t sought = lease_sought_since.load();
     return sought >= 0 && now - TimePoint{sought} > std::chrono::milliseconds(1000);
   }
-  // Whether requests may be served by the configuration known here: under a lease, or statically. A process that was
-  // frozen, and whose news has not run since, does neither.
+  // Whether requests may be served by the configuration known here: under a lease, or while isolated. An isolated
+  // process that was suspended may serve only once gossip has run again.
   bool may_serve_requests(TimePoint now) const {
-    const bool awake = now - TimePoint{gossip_tick.load()} < std::chrono::milliseconds(600);
-    return has_lease(now) || (was_ever_fresh() && awake && is_isolated(now));
+    const bool gossip_runs = now - TimePoint{gossip_tick.load()} < std::chrono::milliseconds(600);
+    return has_lease(now) || (was_ever_fresh() && gossip_runs && is_isolated(now));
   }
   void take_totals(const std::string& kind, KindTotals totals) {
     auto all = *load.get();
@@ -101,30 +111,33 @@
   }
 };
 
-// The daemons that may be, or may name, a control daemon in touch with a majority, the likeliest first: control members
-// of the given zone, other control members, the roster's seats, seats known from the data folder. Seeds are not among
-// them.
+// Lists the daemons that may be, or may name, a control daemon in contact with a majority, the most likely ones first:
+// control daemons of the given zone, other control daemons, the voters of the roster, and the voters known from the
+// data folder. The seeds are not included.
 std::vector<Address> control_candidates(const SharedState& shared_state, const Address& self, const ZoneId& zone);
 
-// Adds an address that is not yet in the list and is not this daemon's own.
+// Adds an address unless it is already in the list or is this daemon's own.
 void add_candidate(std::vector<Address>& list, const Address& address, const Address& self);
 
-// The number of a process's life: of the wall clock, so that later lives mostly have higher ones, and of random, so
-// that a clock set back never makes two lives look the same.
+// Returns a number for a new incarnation, that is, for one run of a process. It starts with the wall clock, so that
+// later incarnations usually have higher numbers, and ends with random bits, so that two incarnations differ even if
+// the clock was set back.
 std::uint64_t new_incarnation(Duration wall, RandomSource& random);
 
 inline constexpr std::uint32_t slot_count = 32;
+// Returns the slot onto which the key is hashed.
 std::uint32_t slot_of(StringView key);
-// The seats of the roster in the order in which they come to own a slot; those that are joining come last.
+// Returns the voters of the roster in the order of preference for owning a slot; voters that are joining come last.
 std::vector<const Voter*> slot_order(const Roster& roster, std::uint32_t slot);
-// The first live seat in that order, or none.
+// Returns the first voter in that order that is a member and not stalled, or null.
 const Voter* slot_owner(const Roster& roster, const Members& members, std::uint32_t slot);
-// The seat that owns a key, of the roster whose holders keep it; none while that one is not known.
+// Returns the voter that owns the key, from the roster of the storage nodes that keep it, or null while there is none.
 const Voter* key_owner(const ConfigurationView& configuration, const Members& members, StringView key);
 inline bool lot_key(StringView key) {
   return key.starts_with("lot/");
 }
-// All live members in the agreed order for a single duty; those of the given zone first.
+// Returns all members in the order of preference for a singleton role, with those of the given zone first. All daemons
+// with the same members compute the same order.
 std::vector<const Member*> duty_order(const Members& members, StringView duty, const ZoneId& zone);
 
 }  // namespace mothwalk
