--- a/source/circle/circle.cpp
+++ b/source/circle/circle.cpp
@@ -10,7 +10,9 @@
 using std::chrono::milliseconds;
 constexpr Duration tick_interval = milliseconds(250);
 constexpr Duration totals_interval = milliseconds(1000);
-constexpr Duration report_max_age = milliseconds(3000);  // Older load reports are ignored.
+// Load reports older than this do not count as recent. Those of daemons that are no longer members are dropped.
+// Pending lots reported longer ago are ignored.
+constexpr Duration report_max_age = milliseconds(3000);
 // Each daemon sends at least one load report within this interval.
 constexpr Duration report_interval = milliseconds(1500);
 constexpr Duration early_cycle_min_interval = milliseconds(2000);  // The time from one cycle to an early one.
@@ -18,7 +20,8 @@
 constexpr Duration unreachable_duration = std::chrono::seconds(5);  // How long an unreachable runner is excluded.
 constexpr std::size_t recent_sample_count = 8;  // An early cycle judges the mean load of this many samples.
 constexpr std::size_t max_samples = 4096;
-// While lots need runners, live work may load the members up to this share of their slots.
+// While lots need runners, the live prompts keep as many members as they fill to this share of their slots, or to the
+// target share if that is higher.
 constexpr double live_load_beside_lots = 0.6;
 // Minimum time between two writes of decisions that change nothing but the controller's state.
 constexpr Duration unchanged_write_interval = std::chrono::seconds(15);
@@ -29,14 +32,14 @@
 
 double relative_load(const std::map<std::string, std::uint32_t>& open, std::uint32_t queued,
                      const std::vector<RunnerId>& members, const Table<Runner>& runners, std::uint32_t concurrency) {
-  double busy = queued, slots = 0;
+  double prompts = queued, slots = 0;
   for (const auto& member : members) {
     auto runner = runners.find(member.text);
     if (runner == runners.end()) continue;
     slots += concurrency == 0 ? runner->second.spec.slots : std::min(concurrency, runner->second.spec.slots);
-    if (auto found = open.find(member.text); found != open.end()) busy += found->second;
+    if (auto found = open.find(member.text); found != open.end()) prompts += found->second;
   }
-  return slots == 0 ? 0 : busy / slots;
+  return slots == 0 ? 0 : prompts / slots;
 }
 
 bool CircleDuty::State::failed_recently(const std::string& runner, Duration ramp, TimePoint now) const {
@@ -52,6 +55,7 @@
   if (auto known = returned.find(runner); known != returned.end() && failure <= known->second) return false;
   if (observed.returned) returned[runner] = at;
   TimePoint& last = failed[runner];
+  // Times within 100 ms of each other are taken as the same failure.
   const bool is_new = at > last + milliseconds(100);
   last = std::max(last, at);
   return is_new;
@@ -65,7 +69,7 @@
     State& state = found->second;
     const TimePoint now = messenger_.timers().now();
     // A failed attempt may mean that the runner was restarted and is cold. The new ramp is published at once, so that
-    // the other daemons need not find out by failures of their own.
+    // the other daemons do not have to detect the restart by failed attempts of their own.
     bool new_failure = false;
     for (const auto& [runner, observed] : load.runners)
       new_failure = state.record_failure(runner, observed, now) || new_failure;
@@ -128,16 +132,16 @@
   for (const auto& [from, report] : state.reports)
     if (now - report.received <= report_interval)
       for (const auto& [name, load] : report.load.runners) connections[name] += load.connections;
-  std::set<std::string> over;
+  std::set<std::string> runners_over_limit;
   for (const auto& [name, count] : connections) {
     if (count <= limit) continue;
-    over.insert(name);
+    runners_over_limit.insert(name);
     if (state.over_limit.contains(name)) continue;
     ++counts_.connections_over_limit;
     note("Invariant violated: runner '" + name + "' of kind '" + kind + "' accepts " + std::to_string(limit) +
          " connections, but the daemons report " + std::to_string(count) + ".");
   }
-  state.over_limit = std::move(over);
+  state.over_limit = std::move(runners_over_limit);
 }
 
 std::set<std::string> CircleDuty::available_runners(const ConfigurationView& configuration, const std::string& kind,
@@ -202,28 +206,30 @@
 
 CircleDuty::SizeBounds CircleDuty::size_bounds(const Table<Runner>& runners, const std::set<std::string>& available,
                                                const CircleSettings& circle, const LoadSummary& summary) {
-  double slots = 0;
-  for (const auto& name : available) slots += runners.at(name).spec.slots / static_cast<double>(available.size());
+  double mean_slots = 0;
+  for (const auto& name : available) mean_slots += runners.at(name).spec.slots / static_cast<double>(available.size());
   // If there are few runners, the configured floor may claim only half of them; the rest is left to waiting lots.
   const std::size_t max_floor =
       summary.has_waiting_lots() ? std::max<std::size_t>(1, available.size() / 2) : available.size();
   const std::size_t lowest = std::min<std::size_t>(circle.floor, max_floor);
-  const std::size_t all = available.size();
-  if (!summary.has_waiting_lots() || all <= lowest) return {lowest, all};
-  // Lots get the runners that they need to finish in time, except those that live work needs at medium load.
-  const auto wanted = std::max<std::size_t>(
-      circle.reserve, slots == 0 ? 0 : static_cast<std::size_t>(std::ceil(summary.lots.at_once / slots)));
-  const double full = circle.concurrency == 0 ? slots : std::min<double>(circle.concurrency, slots);
-  const auto needed = summary.lots.at_once > 0 && full > 0
-                          ? static_cast<std::size_t>(std::ceil((summary.live_prompts + summary.queued_prompts) /
-                                                               (std::max(circle.target, live_load_beside_lots) * full)))
-                          : 0;
-  return {lowest, std::max({lowest, std::min(needed, all), all - std::min(wanted, all)})};
+  const std::size_t available_count = available.size();
+  if (!summary.has_waiting_lots() || available_count <= lowest) return {lowest, available_count};
+  // Lots get the runners that they need to finish in time, except those that the live prompts need.
+  const auto lot_runners = std::max<std::size_t>(
+      circle.reserve, mean_slots == 0 ? 0 : static_cast<std::size_t>(std::ceil(summary.lots.at_once / mean_slots)));
+  const double usable_slots = circle.concurrency == 0 ? mean_slots : std::min<double>(circle.concurrency, mean_slots);
+  const auto live_runners =
+      summary.lots.at_once > 0 && usable_slots > 0
+          ? static_cast<std::size_t>(std::ceil((summary.live_prompts + summary.queued_prompts) /
+                                               (std::max(circle.target, live_load_beside_lots) * usable_slots)))
+          : 0;
+  return {lowest, std::max({lowest, std::min(live_runners, available_count),
+                            available_count - std::min(lot_runners, available_count)})};
 }
 
-void CircleDuty::State::sample(double load) {
+void CircleDuty::State::add_sample(double load) {
   samples.push_back(load);
-  samples_loaded += load > 0;
+  nonzero_samples += load > 0;
   const std::size_t recent = std::min(samples.size(), recent_sample_count);
   recent_load = mean_load = 0;
   for (std::size_t index = 0; index < samples.size(); ++index) {
@@ -238,7 +244,7 @@
   const std::size_t missing_reports = routing > summary.daemons_reporting ? routing - summary.daemons_reporting : 0;
   // The absence of load in one cycle does not show that few runners are needed; only a longer idle time does.
   const Duration idle_time = summary.has_waiting_lots() ? idle_time_beside_lots : idle_time_before_shrink;
-  const bool load_known = state.samples_loaded > 0 || now - state.last_prompt >= idle_time;
+  const bool load_known = state.nonzero_samples > 0 || now - state.last_prompt >= idle_time;
   const bool insufficient_data = now - state.started < startup_delay || missing_reports * 3 > routing || !load_known;
   const bool early = state.recent_load > circle.high_water && now - state.last_cycle >= early_cycle_min_interval;
   if (!insufficient_data && !state.writing && (early || now - state.last_cycle >= circle.cycle)) {
@@ -252,7 +258,7 @@
     next.reason = early ? "early" : "cycle";
     state.last_cycle = now;
     state.samples.clear();
-    state.samples_loaded = 0;
+    state.nonzero_samples = 0;
   }
   return summary.has_waiting_lots() ? std::min(size, limits.highest) : size;
 }
@@ -276,9 +282,9 @@
   const auto members = shared_state_.members.get();
   const Table<Runner>& runners = configuration->runners;
   auto record = configuration->circles.find(kind);
-  const bool decided = record != configuration->circles.end();
-  const Circle before = decided ? record->second.spec : Circle{};
-  if (!state.controller_loaded && decided) {
+  const bool circle_exists = record != configuration->circles.end();
+  const Circle before = circle_exists ? record->second.spec : Circle{};
+  if (!state.controller_loaded && circle_exists) {
     state.controller.size = before.law;
     state.controller.last_error = before.error;
     state.controller_loaded = true;
@@ -294,19 +300,19 @@
   send_totals(kind, *members, summary, state, now);
   const CircleSettings& circle = settings.circle;
   const double load = relative_load(summary.open, summary.queued_prompts, before.members, runners, circle.concurrency);
-  state.sample(load);
+  state.add_sample(load);
   if (summary.live_prompts + summary.queued_prompts > 0) state.last_prompt = now;
 
   const SizeBounds limits = size_bounds(runners, available, circle, summary);
   Circle next = before;
   next.reason.clear();
   std::size_t size = before.members.size() - std::min(before.members.size(), state.extra_members);
-  if (!decided || (!circle.all && before.cycle == 0 && state.samples_loaded == 0)) {
+  if (!circle_exists || (!circle.all && before.cycle == 0 && state.nonzero_samples == 0)) {
     // Without any load measured so far, the circle gets all known runners except the reserve. The PI controller shrinks
     // it once load is measured.
     size = std::max<std::size_t>(limits.lowest,
                                  available.size() - std::min<std::size_t>(circle.reserve, available.size()));
-    if (!decided) next.reason = "first";
+    if (!circle_exists) next.reason = "first";
   } else if (circle.all) {
     size = available.size();
     next.reason = "all";
@@ -323,13 +329,13 @@
     if (until > now && runners.contains(name)) next.dark.push_back(RunnerId(name));
   const auto shared_members = members_shared_with_lots(runners, settings, available, next, summary, state, now);
   assign_placers(*configuration, *members, available, shared_members, state, next);
-  std::erase_if(state.entered, [&](const auto& entry) { return !next.has(entry.first); });
+  std::erase_if(state.joined, [&](const auto& entry) { return !next.has(entry.first); });
   next.reason = reason_for_change(before, next);
   if (next.reason.empty() || state.writing) return;
-  const bool same = next.members == before.members && next.warm == before.warm && next.dark == before.dark &&
-                    next.generations == before.generations && next.ramps == before.ramps &&
-                    next.placers == before.placers && next.daemons == before.daemons;
-  if (same && next.reason == "cycle" && now - state.written < unchanged_write_interval) return;
+  const bool unchanged = next.members == before.members && next.warm == before.warm && next.dark == before.dark &&
+                         next.generations == before.generations && next.ramps == before.ramps &&
+                         next.placers == before.placers && next.daemons == before.daemons;
+  if (unchanged && next.reason == "cycle" && now - state.written < unchanged_write_interval) return;
   state.written = now;
   note("Kind '" + kind + "', " + next.reason + ": " + std::to_string(next.members.size()) + " members, " +
        std::to_string(next.warm.size()) + " of them past their ramp, of " + std::to_string(available.size()) +
--- a/source/circle/circle.hpp
+++ b/source/circle/circle.hpp
@@ -1,6 +1,7 @@
 // Decides which runners of each kind form its circle: the active set of runners that take live prompts. The runners
-// outside the circle process items of lots (batches). For each kind, the control daemon that owns the circle's key
-// decides once per cycle. The load figures come from the daemons that route requests; runners report nothing.
+// outside the circle process the items of lots (batches). For each kind, the control daemon that owns the circle's key
+// decides once per cycle, and earlier under high load. The load figures come from the daemons that route requests;
+// runners report nothing.
 #pragma once
 #include "circle/pi_controller.hpp"
 #include "lots/messages.hpp"
@@ -27,10 +28,10 @@
 struct LoadReport {
   static constexpr StringView kind = "circle.load";
   std::string runner_kind;
-  std::uint64_t incarnation = 0;
-  std::map<std::string, ObservedLoad> runners;
-  std::uint32_t queued = 0;
-  bool items = false;
+  std::uint64_t incarnation = 0;                // Of the sending process.
+  std::map<std::string, ObservedLoad> runners;  // By the runner's name.
+  std::uint32_t queued = 0;                     // Live prompts that wait for a runner.
+  bool items = false;                           // Whether the report covers items of lots instead of live prompts.
   MOTHWALK_FIELDS(runner_kind, incarnation, runners, queued, items)
 };
 // Sent by CircleDuty to all daemons that route requests: what all daemons together have open on each runner.
@@ -68,6 +69,7 @@
     LoadReport load;
     TimePoint received;
   };
+  // The demand of one daemon's waiting lots for runners.
   struct Demand {
     LotDemand lots;
     TimePoint received;
@@ -83,27 +85,32 @@
     PiController controller;
     // Whether the controller has taken its state from the stored circle, and whether a write is in progress.
     bool controller_loaded = false, writing = false;
-    std::map<std::pair<Address, bool>, Report> reports;  // By sender; the flag tells reports of items from live ones.
-    std::vector<double> samples;                         // The load at each tick since the last cycle.
+    // The latest reports, by their sender and by whether they cover items instead of live prompts.
+    std::map<std::pair<Address, bool>, Report> reports;
+    std::vector<double> samples;  // The load at each tick since the last cycle.
+    // When this daemon became the owner of the circle, and when it last ran a cycle.
     TimePoint started, last_cycle;
-    std::map<std::string, TimePoint> entered, failed;  // By runner: when it joined the circle, and when it last failed.
-    std::map<std::string, Ramp> ramps;                 // The latest ramp of each runner.
-    std::map<std::string, TimePoint>
-        returned;                           // When a runner responded again to a daemon that had found it unreachable.
+    // By runner: when it joined the circle, and when it last failed or became reachable again.
+    std::map<std::string, TimePoint> joined, failed;
+    std::map<std::string, Ramp> ramps;  // The latest ramp of each runner.
+    // When each runner last responded again to a daemon that had found it unreachable.
+    std::map<std::string, TimePoint> returned;
     std::map<Address, Demand> lot_demands;  // By the daemon that owns the lots.
     TimePoint written;                      // When the circle was last written.
-    std::map<std::string, TimePoint> unreachable_until;  // Until when a runner is excluded as unreachable.
-    std::set<std::string> over_limit;                    // Runners that have more connections than they accept.
-    TimePoint totals_sent;
-    std::size_t samples_loaded = 0;                // How many of the samples show any load.
-    TimePoint last_prompt;                         // When any live prompt last ran or waited.
-    std::optional<TimePoint> fewer_daemons_since;  // Since when fewer daemons route requests than the circle states.
-    std::size_t extra_members = 0;                 // Members added to make up for members that failed recently.
-    std::optional<TimePoint> all_members_since;    // Since when every available runner is a member.
-    std::optional<TimePoint> last_lot_use;         // When lots last needed members to take items.
+    // Until when each unreachable runner is excluded.
+    std::map<std::string, TimePoint> unreachable_until;
+    std::set<std::string> over_limit;  // Runners that have more connections than they accept.
+    TimePoint totals_sent;             // When the totals were last sent.
+    std::size_t nonzero_samples = 0;   // How many of the samples show any load.
+    TimePoint last_prompt;             // When any live prompt last ran or waited.
+    // Since when fewer daemons route requests than the circle states.
+    std::optional<TimePoint> fewer_daemons_since;
+    std::size_t extra_members = 0;               // Members added to make up for members that failed recently.
+    std::optional<TimePoint> all_members_since;  // Since when every available runner is a member.
+    std::optional<TimePoint> last_lot_use;       // When lots last needed members to take items.
     // The mean of the latest samples, and the mean of all samples since the last cycle.
     double recent_load = 0, mean_load = 0;
-    void sample(double load);
+    void add_sample(double load);
     // Records a daemon's report that a runner was unreachable. Returns false if the report adds nothing new.
     bool record_failure(const std::string& runner, const ObservedLoad& observed, TimePoint now);
     // Whether the runner has failed within the last ramp period.
@@ -111,11 +118,11 @@
   };
   // The sum of the reports of all daemons.
   struct LoadSummary {
-    std::map<std::string, std::uint32_t> open;  // Live prompts by runner.
-    std::map<std::string, RunnerTotal> totals;
+    std::map<std::string, std::uint32_t> open;   // Live prompts by runner.
+    std::map<std::string, RunnerTotal> totals;   // What all daemons together have open, by runner.
     std::map<std::string, double> live_by_zone;  // Live prompts by the zone of the daemon that received them.
-    std::uint32_t queued_prompts = 0,
-                  live_prompts = 0;     // Live prompts that wait for a runner, and those that are dispatched.
+    // Live prompts that wait for a runner, and those that are dispatched.
+    std::uint32_t queued_prompts = 0, live_prompts = 0;
     std::size_t daemons_reporting = 0;  // How many routing daemons sent a report recently.
     LotDemand lots;
     bool has_waiting_lots() const { return lots.pending > 0 || lots.at_once > 0; }
--- a/source/circle/membership.cpp
+++ b/source/circle/membership.cpp
@@ -89,8 +89,8 @@
       static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [&](const RunnerId& member) {
         return state.failed_recently(member.text, ramp, now);
       }));
-  const std::size_t wanted = members.size() - std::min(members.size(), state.extra_members);
-  return failed_count * 2 >= wanted ? failed_count : 0;
+  const std::size_t regular_size = members.size() - std::min(members.size(), state.extra_members);
+  return failed_count * 2 >= regular_size ? failed_count : 0;
 }
 
 // A ramp begins when a runner becomes a member, is restarted, fails or becomes reachable again. Its duration counts
@@ -106,10 +106,10 @@
     const std::uint64_t generation = runners.at(name).spec.generation;
     const auto known = before.generations.find(name);
     const bool restarted = before.has(name) && (known == before.generations.end() ? 0 : known->second) != generation;
-    if (restarted) state.entered[name] = now;
-    const TimePoint entered = state.entered.try_emplace(name, now).first->second;
+    if (restarted) state.joined[name] = now;
+    const TimePoint joined = state.joined.try_emplace(name, now).first->second;
     const bool recently_failed = state.failed_recently(name, ramp, now);
-    const TimePoint cause = recently_failed ? std::max(entered, state.failed.at(name)) : entered;
+    const TimePoint cause = recently_failed ? std::max(joined, state.failed.at(name)) : joined;
     Ramp& latest = state.ramps[name];
     const auto count = before.ramps.find(name);
     next.ramps[name] = count == before.ramps.end() ? 0 : count->second;
@@ -117,7 +117,7 @@
       latest = Ramp{cause, now};
       ++next.ramps[name];
     }
-    const bool ramp_over = now - entered >= ramp && now - latest.announced >= ramp;
+    const bool ramp_over = now - joined >= ramp && now - latest.announced >= ramp;
     if (!recently_failed && !restarted && (before.bears(name, generation) || ramp_over)) next.warm.push_back(member);
     if (generation > 0) next.generations[name] = generation;
   }
--- a/source/circle/placers.cpp
+++ b/source/circle/placers.cpp
@@ -16,8 +16,8 @@
 constexpr Duration lot_sharing_retention = std::chrono::seconds(5);
 }  // namespace
 
-// While no runner is outside the circle, lots would otherwise wait. That lasts forever if a kind has only one runner or
-// keeps all of its runners in the circle. The placer bounds how many items a member gets in addition to its prompts.
+// If all runners are members and no member took items, lots would wait: forever, if a kind has only one runner or keeps
+// all of its runners in the circle. The placer bounds how many items a member gets in addition to its prompts.
 std::set<std::string> CircleDuty::members_shared_with_lots(const Table<Runner>& runners, const Kind& kind,
                                                            const std::set<std::string>& available, const Circle& next,
                                                            const LoadSummary& summary, State& state, TimePoint now) {
@@ -32,8 +32,8 @@
     return total != summary.totals.end() && total->second.items > 0 && next.placers.contains(member.text);
   });
   if (running || summary.has_waiting_lots()) state.last_lot_use = now;
-  const bool wanted = state.last_lot_use && now - *state.last_lot_use < lot_sharing_retention;
-  if (!wanted || now - *state.all_members_since < lot_sharing_delay) return {};
+  const bool lots_need_members = state.last_lot_use && now - *state.last_lot_use < lot_sharing_retention;
+  if (!lots_need_members || now - *state.all_members_since < lot_sharing_delay) return {};
   std::vector<std::string> order(available.begin(), available.end());
   auto rank = [&](const std::string& name) {
     const bool cold = runners.at(name).spec.cold > Duration{};
--- a/source/sessions/messenger.cpp
+++ b/source/sessions/messenger.cpp
@@ -12,7 +12,7 @@
 
 void Messenger::send_reply(const Address& to, const std::string& slice, std::uint64_t call, StringView kind,
                            Bytes body) {
-  if (call == 0) return;
+  if (call == 0) return;  // The message was no request, so its sender expects no reply.
   transport_.send(to, Envelope{self_, incarnation_, slice, slice_, std::string(kind), call, true, std::move(body),
                                protocol_number});
 }
--- a/source/sessions/sessions.cpp
+++ b/source/sessions/sessions.cpp
@@ -9,12 +9,12 @@
     : messenger_(messenger), shared_state_(shared_state), self_(std::move(self)) {
   shared_state_.seeds.set(std::move(seeds));
   messenger_.on_request<Heartbeat>(
-      [this](const Address& from, Heartbeat heartbeat, ReplyCallback<HeartbeatReply> answer) {
+      [this](const Address& from, Heartbeat heartbeat, ReplyCallback<HeartbeatReply> respond) {
         if (heartbeat.member.address != from)
-          return answer(Error{ErrorKind::invalid, "member.address",
-                              "the heartbeat comes from an address other than the member address that it states",
-                              "set each daemon's address to the one by which the other daemons reach it"});
-        answer(handle_heartbeat(from, std::move(heartbeat)));
+          return respond(Error{ErrorKind::invalid, "member.address",
+                               "the heartbeat comes from an address other than the member address that it states",
+                               "set each daemon's address to the one by which the other daemons reach it"});
+        respond(handle_heartbeat(from, std::move(heartbeat)));
       });
   messenger_.on_message<SessionExchange>(
       [this](const Address& from, SessionExchange exchange) { handle_exchange(from, std::move(exchange)); });
@@ -29,8 +29,8 @@
 
 void Sessions::handle_exchange(const Address& from, SessionExchange exchange) {
   if (!exchange.member.keeps_control() || exchange.member.address != from || from == self_.address) return;
-  // A control daemon that is new here receives the addresses of the others. A daemon that is no control daemon keeps no
-  // sessions of others: it only names control daemons to them.
+  // A control daemon that is new here receives the addresses of the others. A daemon without control state keeps no
+  // sessions of others: it only names the control daemons that it knows.
   if (!is_control_daemon() || !peers_.contains(from)) {
     Introduction introduction{known_control_daemons()};
     std::erase_if(introduction.members, [&](const Member& each) { return each.address == from; });
@@ -67,8 +67,8 @@
 // daemons may still receive its messages, and would otherwise wait for it as the owner of its slots.
 bool Sessions::lost_majority_contact() const {
   if (!is_control_daemon() || shared_state_.configuration.get()->roster.seats.empty()) return false;
-  const TimePoint lapsed{shared_state_.lease_until.load()};
-  return messenger_.timers().now() - lapsed > contact_loss_grace;
+  const TimePoint lease_end{shared_state_.lease_until.load()};
+  return messenger_.timers().now() - lease_end > contact_loss_grace;
 }
 
 HeartbeatReply Sessions::handle_heartbeat(const Address& from, Heartbeat heartbeat) {
--- a/source/sessions/shared_state.hpp
+++ b/source/sessions/shared_state.hpp
@@ -50,10 +50,11 @@
   MOTHWALK_FIELDS(address, zone, callers, control, incarnation, holder, stalled, roster, version, keeps, name)
 };
 
+// The members of the cluster as this daemon knows them.
 struct Members {
   std::map<Address, Member> all;
-  Address session_server;  // The control daemon that holds this daemon's session.
-  std::size_t control_daemons = 0;
+  Address session_server;                               // The control daemon that holds this daemon's session.
+  std::size_t control_daemons = 0;                      // How many members keep control state.
   const Member* holder(const StorageNodeId& id) const;  // The member with this identity as a storage node, if any.
   std::size_t routing() const;                          // How many members route requests.
 };
@@ -69,13 +70,14 @@
   std::uint32_t foreign = 0;  // Those of the items that were dispatched by a daemon other than the runner's placer.
   MOTHWALK_FIELDS(open, items, foreign)
 };
+// The totals of all runners of one kind, by the runner's name.
 struct KindTotals {
-  TimePoint heard;
+  TimePoint heard;  // When they were received.
   std::map<std::string, RunnerTotal> runners;
 };
 
 struct SharedState {
-  // The voters for control state by the data folder, for use before any configuration is received by gossip.
+  // The voters for control state as known from the data folder, used before gossip has delivered any configuration.
   Shared<std::vector<Address>> control_seats;
   Shared<std::vector<Address>> seeds;  // As in the current settings.
   Shared<Members> members;
@@ -86,10 +88,10 @@
   // known configuration. It is renewed when a comparison with a control daemon in contact with a majority shows that
   // the configuration is complete.
   std::atomic<std::int64_t> lease_until{-1};
-  std::atomic<std::int64_t> lease_sought_since{-1};  // Since when this daemon tries to renew an expired lease.
+  std::atomic<std::int64_t> lease_sought_since{-1};  // Since when this daemon has tried to renew an expired lease.
   std::atomic<std::int64_t> gossip_tick{-1};         // When gossip last ran. It is old after the process was suspended.
-  std::atomic<bool> stalled{false};
-  std::atomic<bool> draining{false};
+  std::atomic<bool> stalled{false};                  // Whether this daemon's disk does not respond.
+  std::atomic<bool> draining{false};                 // Whether this daemon is shutting down.
   bool has_lease(TimePoint now) const { return lease_until.load() >= now.microseconds; }
   // Whether this process has ever had a lease.
   bool was_ever_fresh() const { return lease_until.load() >= 0; }
@@ -124,6 +126,7 @@
 // the clock was set back.
 std::uint64_t new_incarnation(Duration wall, RandomSource& random);
 
+// All keys are divided among this many slots. Each slot is owned by one voter at a time.
 inline constexpr std::uint32_t slot_count = 32;
 // Returns the slot onto which the key is hashed.
 std::uint32_t slot_of(StringView key);
--- a/tests/circle_duty_test.cpp
+++ b/tests/circle_duty_test.cpp
@@ -373,7 +373,8 @@
   CHECK(fixture.circle().members.size() == 1);
   CHECK(fixture.shared_members() == 0);
   CHECK(fixture.circle().placers.size() == 1);
-  // The prompts need more than one runner at medium load: both become members, at most half of whose slots are in use.
+  // The prompts need more than one runner at the target load: both become members, at most half of whose slots are in
+  // use.
   fixture.run_with_waiting_lots(12, 4);
   fixture.run_with_waiting_lots(6, 2);
   CHECK(fixture.circle().members.size() == 2);
