--- a/source/sessions/shared_state.hpp
+++ b/source/sessions/shared_state.hpp
@@ -91,7 +91,7 @@
   std::atomic<std::int64_t> lease_sought_since{-1};  // Since when this daemon has tried to renew an expired lease.
   std::atomic<std::int64_t> gossip_tick{-1};         // When gossip last ran. It is old after the process was suspended.
   std::atomic<bool> stalled{false};                  // Whether this daemon's disk does not respond.
-  std::atomic<bool> draining{false};                 // Whether this daemon is shutting down.
+  std::atomic<bool> draining{false};                 // Whether new requests are refused while open ones end.
   bool has_lease(TimePoint now) const { return lease_until.load() >= now.microseconds; }
   // Whether this process has ever had a lease.
   bool was_ever_fresh() const { return lease_until.load() >= 0; }
--- a/tests/circle_duty_test.cpp
+++ b/tests/circle_duty_test.cpp
@@ -14,18 +14,18 @@
 class CircleFixture : public Transport {
  public:
   CircleFixture() {
-    member("10.0.0.1:1", true);
+    add_member("10.0.0.1:1", true);
     shared_state.members.set(members);
-    own(1);
+    own_all_slots(1);
   }
   ~CircleFixture() override { life->alive = false; }
 
-  void own(std::uint64_t epoch) {
+  void own_all_slots(std::uint64_t epoch) {
     Ownership owned;
     for (std::uint32_t slot = 0; slot < slot_count; ++slot) owned.slots[slot] = Epoch{epoch};
     shared_state.owned.set(owned);
   }
-  void member(const std::string& address, bool routes) {
+  void add_member(const std::string& address, bool routes) {
     Member member;
     member.address = Address(address);
     member.zone = ZoneId("north");
@@ -38,7 +38,7 @@
     REQUIRE(put_in_view(view, key, &value, Stamp{Epoch{1}, Version{++versions}}));
     shared_state.configuration.set(view);
   }
-  void list_runners(int count) {
+  void add_runners(int count) {
     for (int index = 1; index <= count; ++index)
       put("runner/" + std::to_string(index),
           R"({"kind":"model","address":"10.0.1.)" + std::to_string(index) + R"(:80","zone":"north","slots":4})");
@@ -59,7 +59,8 @@
     messenger.take(Envelope{Address("10.0.0.1:1"), 7, "circle", "lots", std::string(KindPending::kind), 0, false,
                             to_cbor(lots), protocol_number});
   }
-  // Every half second, each routing daemon reports so many open prompts for each member of the circle.
+  // Advances the clock. Every half second, each routing daemon reports this many open prompts for each member of the
+  // circle.
   void run(Duration duration, std::uint32_t open_each, std::uint32_t queued = 0) {
     for (const TimePoint end = world.now() + duration; world.now() < end;
          world.run_until(world.now() + milliseconds(500)))
@@ -71,6 +72,7 @@
         report(address.text, load);
       }
   }
+  // Acts as the replicated store: applies each write, and acknowledges it 1 ms later.
   void send(const Address& to, Envelope envelope) override {
     if (envelope.kind != Write::kind) return;
     const auto write = *from_cbor<Write>(envelope.body);
@@ -94,32 +96,32 @@
   Members members;
   ConfigurationView view;
   std::uint64_t versions = 0;
-  CircleDuty duty{messenger, shared_state};
+  CircleDuty circle_duty{messenger, shared_state};
 };
 
-const char* model_kind = R"({"circle":{"cycle":2000,"floor":2,"reserve":2,"ramp":500,"target":0.6}})";
+const char* kind_with_reserve = R"({"circle":{"cycle":2000,"floor":2,"reserve":2,"ramp":500,"target":0.6}})";
 
 }  // namespace
 
 TEST_CASE("a circle created before any runner is known adds all runners except the reserve once they are known") {
   CircleFixture fixture;
-  fixture.put("kind/model", model_kind);
-  fixture.duty.start();
+  fixture.put("kind/model", kind_with_reserve);
+  fixture.circle_duty.start();
   fixture.run(seconds(2), 0);
   CHECK(fixture.circle().members.empty());
-  fixture.list_runners(5);
+  fixture.add_runners(5);
   fixture.run(seconds(2), 0);
   CHECK(fixture.circle().members.size() == 3);
-  fixture.list_runners(20);
+  fixture.add_runners(20);
   fixture.run(seconds(12), 0);
   CHECK(fixture.circle().members.size() == 18);
 }
 
 TEST_CASE("a cycle without prompts does not shrink the circle; measured load and a long idle time do") {
   CircleFixture fixture;
-  fixture.put("kind/model", model_kind);
-  fixture.list_runners(20);
-  fixture.duty.start();
+  fixture.put("kind/model", kind_with_reserve);
+  fixture.add_runners(20);
+  fixture.circle_duty.start();
   fixture.run(seconds(10), 1);
   const std::size_t size_with_load = fixture.circle().members.size();
   CHECK(size_with_load < 18);
@@ -133,18 +135,18 @@
 
 TEST_CASE("after a restart a circle keeps its members and their warm state until the list of runners is received") {
   CircleFixture fixture;
-  fixture.put("kind/model", model_kind);
-  fixture.list_runners(20);
-  fixture.duty.start();
+  fixture.put("kind/model", kind_with_reserve);
+  fixture.add_runners(20);
+  fixture.circle_duty.start();
   fixture.run(seconds(6), 2);
   const auto members = fixture.circle().members;
   REQUIRE(!members.empty());
   REQUIRE(fixture.circle().warm == members);
   fixture.clear_runners();
-  fixture.own(2);
+  fixture.own_all_slots(2);
   fixture.run(seconds(2), 0);
   CHECK(fixture.circle().members == members);
-  fixture.list_runners(20);
+  fixture.add_runners(20);
   fixture.run(seconds(2), 0);
   CHECK(fixture.circle().members == members);
   CHECK(fixture.circle().warm == members);
@@ -152,10 +154,10 @@
 
 TEST_CASE("the circle shrinks without waiting for reports of daemons that route no prompts") {
   CircleFixture fixture;
-  fixture.put("kind/model", model_kind);
-  for (const char* address : {"10.0.0.2:1", "10.0.0.3:1"}) fixture.member(address, false);
-  fixture.list_runners(20);
-  fixture.duty.start();
+  fixture.put("kind/model", kind_with_reserve);
+  for (const char* address : {"10.0.0.2:1", "10.0.0.3:1"}) fixture.add_member(address, false);
+  fixture.add_runners(20);
+  fixture.circle_duty.start();
   fixture.run(seconds(20), 1);
   CHECK(fixture.circle().members.size() < 12);
 }
@@ -164,8 +166,8 @@
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"cycle":60000,"floor":2,"reserve":2,"ramp":500,"target":0.6}})");
   fixture.put("circle/model", R"({"members":["1","2","3","4"],"warm":["1","2","3","4"],"cycle":5,"law":4})");
-  fixture.list_runners(60);
-  fixture.duty.start();
+  fixture.add_runners(60);
+  fixture.circle_duty.start();
   std::size_t before = 4, after = 4;
   // 16 prompts run and 14 wait for 16 slots. At the target load of 0.6 these 30 prompts need 12 or 13 runners.
   for (int step = 0; step < 20 && after == 4; ++step) {
@@ -178,10 +180,10 @@
 
 TEST_CASE("the circle states how many daemons route, and keeps the number while daemons are briefly unreachable") {
   CircleFixture fixture;
-  fixture.put("kind/model", model_kind);
-  for (int index = 2; index <= 6; ++index) fixture.member("10.0.0." + std::to_string(index) + ":1", index < 6);
-  fixture.list_runners(4);
-  fixture.duty.start();
+  fixture.put("kind/model", kind_with_reserve);
+  for (int index = 2; index <= 6; ++index) fixture.add_member("10.0.0." + std::to_string(index) + ":1", index < 6);
+  fixture.add_runners(4);
+  fixture.circle_duty.start();
   fixture.run(seconds(2), 1);
   CHECK(fixture.circle().daemons == 5);
   for (int index = 3; index <= 6; ++index) fixture.members.all.erase(Address("10.0.0." + std::to_string(index) + ":1"));
@@ -195,9 +197,9 @@
 TEST_CASE("if all daemons together exceed a runner's connection limit, this is counted once per occasion") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"connections":10,"circle":{"all":true}})");
-  fixture.list_runners(2);
-  fixture.member("10.0.0.2:1", true);
-  fixture.duty.start();
+  fixture.add_runners(2);
+  fixture.add_member("10.0.0.2:1", true);
+  fixture.circle_duty.start();
   auto report = [&](std::uint32_t first, std::uint32_t second) {
     LoadReport load;
     load.runners["1"].connections = first;
@@ -208,20 +210,20 @@
   };
   fixture.world.run_until(fixture.world.now() + seconds(1));
   report(5, 5);
-  CHECK(fixture.duty.counts().connections_over_limit == 0);
+  CHECK(fixture.circle_duty.counts().connections_over_limit == 0);
   report(5, 6);
   report(6, 6);
-  CHECK(fixture.duty.counts().connections_over_limit == 1);
+  CHECK(fixture.circle_duty.counts().connections_over_limit == 1);
   report(4, 5);
   report(9, 9);
-  CHECK(fixture.duty.counts().connections_over_limit == 2);
+  CHECK(fixture.circle_duty.counts().connections_over_limit == 2);
 }
 
 TEST_CASE("lots get runners even if there are no more runners than the floor") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"cycle":2000,"floor":4,"reserve":4,"ramp":500,"target":0.6}})");
-  fixture.list_runners(4);
-  fixture.duty.start();
+  fixture.add_runners(4);
+  fixture.circle_duty.start();
   fixture.run(seconds(4), 1);
   CHECK(fixture.circle().members.size() == 4);
   for (int second = 0; second < 6; ++second) {
@@ -234,8 +236,8 @@
 TEST_CASE("lots without a deadline do not wait a minute for the runners of a circle that gets no prompts") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"cycle":2000,"floor":2,"reserve":1,"ramp":500,"target":0.6}})");
-  fixture.list_runners(6);
-  fixture.duty.start();
+  fixture.add_runners(6);
+  fixture.circle_duty.start();
   fixture.run(seconds(6), 4);
   const auto run_without_prompts = [&fixture](int duration_seconds) {
     for (int second = 0; second < duration_seconds; ++second) {
@@ -251,8 +253,8 @@
 TEST_CASE("a ramp counts from the decision that announces it, not from a failure that was reported late") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"all":true,"ramp":1000}})");
-  fixture.list_runners(2);
-  fixture.duty.start();
+  fixture.add_runners(2);
+  fixture.circle_duty.start();
   fixture.run(seconds(3), 1);
   REQUIRE(fixture.circle().warm.size() == 2);
   LoadReport load;
@@ -267,9 +269,9 @@
 TEST_CASE("a recovered runner begins one ramp, not another one with each daemon that learns of the recovery late") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"all":true,"ramp":1000}})");
-  fixture.list_runners(2);
-  for (int index = 2; index <= 9; ++index) fixture.member("10.0.0." + std::to_string(index) + ":1", true);
-  fixture.duty.start();
+  fixture.add_runners(2);
+  for (int index = 2; index <= 9; ++index) fixture.add_member("10.0.0." + std::to_string(index) + ":1", true);
+  fixture.circle_duty.start();
   fixture.run(seconds(3), 1);
   REQUIRE(fixture.circle().warm.size() == 2);
   const std::uint64_t before = fixture.circle().ramps.at("1");
@@ -298,8 +300,8 @@
 struct WaitingLotsFixture : CircleFixture {
   WaitingLotsFixture(const Bytes& kind, int runners) {
     put("kind/model", kind);
-    list_runners(runners);
-    duty.start();
+    add_runners(runners);
+    circle_duty.start();
   }
   void run_with_waiting_lots(int seconds_to_run, std::uint32_t open_each) {
     for (int second = 0; second < seconds_to_run; ++second) {
@@ -313,13 +315,13 @@
   }
 };
 
-const char* kind_without_reserve = R"({"circle":{"cycle":2000,"all":true,"ramp":500}})";
+const char* kind_all_in_circle = R"({"circle":{"cycle":2000,"all":true,"ramp":500}})";
 
 }  // namespace
 
 // Guards against lots that are accepted but never run because the only runner of the kind is a member of the circle.
 TEST_CASE("the only runner of a kind takes items of lots in addition to its prompts while lots wait") {
-  WaitingLotsFixture fixture(model_kind, 1);
+  WaitingLotsFixture fixture(kind_with_reserve, 1);
   fixture.run(seconds(3), 0);
   CHECK(fixture.circle().members.size() == 1);
   CHECK(fixture.shared_members() == 0);
@@ -334,7 +336,7 @@
 
 // Guards against the same fault in a kind that keeps all of its runners in the circle.
 TEST_CASE("a kind with all runners in the circle gives lots the members they need, and replaces a lost placer") {
-  WaitingLotsFixture fixture(kind_without_reserve, 5);
+  WaitingLotsFixture fixture(kind_all_in_circle, 5);
   fixture.run_with_waiting_lots(4, 1);
   CHECK(fixture.circle().members.size() == 5);
   CHECK(fixture.shared_members() == 1);
@@ -342,7 +344,7 @@
   fixture.run(seconds(1), 1);
   CHECK(fixture.shared_members() == 4);
   const auto placers = fixture.circle().placers;
-  fixture.member("10.0.0.2:1", true);
+  fixture.add_member("10.0.0.2:1", true);
   fixture.members.all.erase(Address("10.0.0.1:1"));
   fixture.shared_state.members.set(fixture.members);
   fixture.run_with_waiting_lots(2, 1);
@@ -354,7 +356,7 @@
 }
 
 TEST_CASE("items running on a member keep their placer until they end, even if no lot waits any more") {
-  WaitingLotsFixture fixture(model_kind, 1);
+  WaitingLotsFixture fixture(kind_with_reserve, 1);
   fixture.run_with_waiting_lots(4, 0);
   REQUIRE(fixture.shared_members() == 1);
   for (int second = 0; second < 12; ++second) {
@@ -368,7 +370,7 @@
 }
 
 TEST_CASE("no member takes items while a runner is outside the circle; members do if prompts need all runners") {
-  WaitingLotsFixture fixture(model_kind, 2);
+  WaitingLotsFixture fixture(kind_with_reserve, 2);
   fixture.run_with_waiting_lots(6, 0);
   CHECK(fixture.circle().members.size() == 1);
   CHECK(fixture.shared_members() == 0);
