--- a/source/circle/circle.cpp
+++ b/source/circle/circle.cpp
@@ -20,8 +20,8 @@
 constexpr Duration unreachable_duration = std::chrono::seconds(5);  // How long an unreachable runner is excluded.
 constexpr std::size_t recent_sample_count = 8;  // An early cycle judges the mean load of this many samples.
 constexpr std::size_t max_samples = 4096;
-// While lots need runners, the live prompts keep as many members as they fill to this share of their slots, or to the
-// target share if that is higher.
+// While lots need runners, the circle may still have as many members as the live prompts need at this load, or at the
+// target load if that is higher.
 constexpr double live_load_beside_lots = 0.6;
 // Minimum time between two writes of decisions that change nothing but the controller's state.
 constexpr Duration unchanged_write_interval = std::chrono::seconds(15);
@@ -308,8 +308,8 @@
   next.reason.clear();
   std::size_t size = before.members.size() - std::min(before.members.size(), state.extra_members);
   if (!circle_exists || (!circle.all && before.cycle == 0 && state.nonzero_samples == 0)) {
-    // Without any load measured so far, the circle gets all known runners except the reserve. The PI controller shrinks
-    // it once load is measured.
+    // Before any load is measured, the circle gets all known runners except the reserve. The PI controller shrinks it
+    // once load is measured.
     size = std::max<std::size_t>(limits.lowest,
                                  available.size() - std::min<std::size_t>(circle.reserve, available.size()));
     if (!circle_exists) next.reason = "first";
--- a/source/circle/membership.cpp
+++ b/source/circle/membership.cpp
@@ -27,8 +27,8 @@
   for (const auto& name : available) zone_shares[zone(name)] = 0;
   for (auto& [name, zone_share] : zone_shares) {
     auto prompts = live_by_zone.find(name);
-    // Without known prompts all zones have equal shares. The distribution of the prompts changes over time, so 30 % of
-    // the members are always divided equally.
+    // Without open prompts all zones have equal shares. The distribution of the prompts changes over time, so 30 % of
+    // the shares are always divided equally.
     zone_share = total_live < 1 ? 1
                                 : 0.3 / static_cast<double>(zone_shares.size()) +
                                       0.7 * (prompts == live_by_zone.end() ? 0 : prompts->second / total_live);
--- a/source/circle/pi_controller.hpp
+++ b/source/circle/pi_controller.hpp
@@ -14,7 +14,7 @@
   double last_error = 0;
 
   // Runs one cycle and returns the next size, an integer within [min_size, max_size]. If the members are overloaded,
-  // the size grows by all missing runners at once.
+  // the size grows by all missing runners at once. `may_shrink` is false if the load data are incomplete.
   std::size_t next_size(double load, double target, std::size_t current_size, std::size_t min_size,
                         std::size_t max_size, bool may_shrink, bool overloaded = false);
 };
--- a/source/sessions/member_changes.hpp
+++ b/source/sessions/member_changes.hpp
@@ -11,6 +11,7 @@
 
 using MemberTable = std::map<Address, Member>;
 
+// The differences between two tables of members.
 struct MemberChanges {
   std::vector<Member> members;  // New members, and members with changed fields.
   std::vector<Address> gone;    // Members that were removed.
@@ -22,6 +23,7 @@
 // change of one member updates it without the others.
 std::uint64_t digest_of(const Member& member);
 
+// Returns the changes that turn one table into the other.
 MemberChanges changes_between(const MemberTable& before, const MemberTable& after);
 // Applies the changes to the table. Takes the table's digest and returns its new digest.
 std::uint64_t apply(const MemberChanges& changes, MemberTable& table, std::uint64_t digest);
