--- a/source/configuration/resources.cpp
+++ b/source/configuration/resources.cpp
@@ -1,4 +1,4 @@
-// Checking of the operators' documents and the building of the view that all duties read.
+// Validates operators' documents and maintains the configuration view that all components of a daemon read.
 #include "configuration/resources.hpp"
 
 #include "coding/cbor.hpp"
@@ -235,7 +235,8 @@
 }
 
 namespace {
-// Takes what an earlier document put there out of a table, then puts the new entries beside the declared ones.
+// Removes the entries of a table that an earlier document added, then adds the new ones. Entries that operators
+// declared as resources of their own take precedence over entries of the document with the same name.
 template <class T>
 void replace_part(Table<T>& table, std::set<std::string>& part, std::map<std::string, T> entries, Stamp stamp) {
   for (const auto& name : part) table.erase(name);
