--- a/source/control/configuration_orders.cpp
+++ b/source/control/configuration_orders.cpp
@@ -1,5 +1,5 @@
-// Each step rests on a read that the owner of the record had confirmed by a majority; the write is conditional on the
-// version that was read.
+// Each decision is based on a read that the owner of the record had confirmed by a majority of the voters. The write is
+// conditional on the version of the record that was read.
 #include "control/configuration_orders.hpp"
 
 #include "coding/cbor.hpp"
@@ -59,7 +59,7 @@
   const FleetConfiguration& current = std::get<FleetConfiguration>(kept);
   const OrderIdentity& identity = order->change.identity;
   const bool on_its_base = current.revision == identity.base;
-  // Revisions rise: what is taken has a number that is not above the current one.
+  // Revisions only rise, so an order with a number above the current revision was never applied.
   if (!on_its_base && identity.number > current.revision)
     return order->answer(another_is_current(current.revision, identity.base));
   const bool needs_history = !on_its_base || reply.entries >= OrderHistory::most_remembered;
@@ -101,7 +101,8 @@
     auto error = error_of(written);
     if (error == nullptr) return order->answer(Version{order->change.identity.number});
     const bool time_left = messenger_.timers().now() < order->until;
-    // Another change, or an earlier sending of this one, came between: the newest record tells which.
+    // Another change, or an earlier copy of this one, was written in the meantime, or the outcome of this
+    // write is not known. The current record shows which is the case.
     const bool settled_by_reading = error->kind == ErrorKind::stale || (error->kind == ErrorKind::unknown && time_left);
     if (!settled_by_reading) return order->answer(*error);
     order->sent = true;
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -1,4 +1,4 @@
-// The calls of the resource interface and of the lots.
+// Implements the HTTP calls of operators and of clients that use lots.
 #include "control/control.hpp"
 
 #include <algorithm>
@@ -37,7 +37,7 @@
   return found == table.end() ? nullptr : &found->second;
 }
 
-// Calls with the table of a type.
+// Calls the function with the table of the given resource type. Returns false where there is no such type.
 template <class Use>
 bool with_table(const ConfigurationView& view, StringView type, Use use) {
   if (type == "lane") return use(view.lanes), true;
@@ -119,7 +119,7 @@
     if (slash == StringView::npos) break;
     path.remove_prefix(slash + 1);
   }
-  // Names of the release before 0.2 are understood for one release.
+  // The names used before release 0.2 are accepted for one more release.
   if (split.parts.size() > 1 && split.parts[1] == "soundness") split.parts[1] = "health";
   if (split.parts.size() > 1 && split.parts[1] == "usage") split.parts[1] = "load";
   if (split.parts.size() > 2) split.parts[2] = current_type(split.parts[2]);
@@ -190,7 +190,8 @@
   auto checked = check_document(type, name, request.body, *configuration);
   if (auto error = error_of(checked)) {
     if (!second_look) return answer(faulty(*error));
-    // What the document leans on may be on its way to this daemon: one more look after a round of news.
+    // A resource that the document refers to may have been written at another daemon and not have arrived here yet. The
+    // check is repeated once, after a round of gossip.
     messenger_.timers().after(milliseconds(400), [this, type, name, request, target, answer] {
       put(type, name, request, target, answer, false);
     });
@@ -237,7 +238,8 @@
   });
 }
 
-// The answer waits (briefly) for this daemon's own news, so that the next call made here sees the change.
+// Delays the response until the change has arrived here by gossip, but not beyond the deadline, so that the next call
+// to this daemon sees the change.
 void Control::answer_when_seen(const std::string& key, Stamp stamp, TimePoint until, ControlAnswer answer) {
   const auto configuration = shared_state_.configuration.get();
   const auto slash = key.find('/');
@@ -258,7 +260,8 @@
 }
 
 void Control::show(const std::string& type, const std::string& name, ControlAnswer answer) {
-  // The owner's word, confirmed by a majority, and who of the members has taken it.
+  // Reads the record from its owner, which has it confirmed by a majority, and asks each member whether it has applied
+  // that version.
   client_.read(type + "/" + name, milliseconds(3000), [this, type, name, answer](Result<ReadReply> result) {
     if (auto error = error_of(result)) return answer(faulty(*error));
     const ReadReply reply = std::get<ReadReply>(result);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -1,5 +1,5 @@
-// The operators' resource interface and the callers' interface to kept lots, over HTTP and JSON. Any daemon takes any
-// call and passes on what another one owns.
+// The operators' interface to the configuration resources, and the clients' interface to lots, both over HTTP with JSON
+// bodies. Every daemon accepts every call, and forwards it to the owner of the record where that is another daemon.
 #pragma once
 #include "coding/json.hpp"
 #include "lots/lot_calls.hpp"
@@ -7,43 +7,53 @@
 
 namespace mothwalk {
 
+// An HTTP request to the control interface.
 struct ControlRequest {
   std::string method, target;
   Bytes body;
-  bool callers = false;  // came in on the callers' side: lots alone
+  bool callers = false;  // The request came in on the clients' address, where only the lot interface is available.
   std::vector<Header> headers = {};
 };
 struct ControlReply {
   int status = 200;
   json::value body;
-  bool retry_after = false;
-  std::vector<Header> headers = {};  // beside those that the front sets
-  std::optional<Bytes> raw = {};     // stands for the body where that is not JSON, or not this program's
+  bool retry_after = false;          // The response states when the client may try again (Retry-After).
+  std::vector<Header> headers = {};  // Headers beside those that the HTTP server sets.
+  // Replaces the body where that is not JSON, or was not made by this program.
+  std::optional<Bytes> raw = {};
 };
 using ControlAnswer = std::function<void(ControlReply)>;
 
-// A page of results as callers read it: a body that is no text stands there in base64, and says so.
+// A page of a lot's results as clients receive it. A result body that is not text is encoded in base64, which the field
+// "encoding" states.
 json::value page_json(const LotPage& page);
 
+// Handles the HTTP calls of operators, and those of clients that concern lots.
 class Control {
  public:
+  // load_json returns the load of this daemon, which is the reply to /v1/load.
   Control(Messenger& messenger, SharedState& shared_state, RandomSource& random, Member self,
           std::function<json::value()> own_load);
   void handle(ControlRequest request, ControlAnswer answer);
 
  private:
+  // The path segments and the query parameters of a request target.
   struct Target {
     std::vector<std::string> parts;
     std::map<std::string, std::string> query;
   };
   static std::optional<Target> split(StringView target);
   void resources(const ControlRequest& request, const Target& target, ControlAnswer answer);
+  // With retry_once, an invalid document is checked a second time after a delay.
   void put(const std::string& type, const std::string& name, const ControlRequest& request, const Target& target,
            ControlAnswer answer, bool second_look);
   void show(const std::string& type, const std::string& name, ControlAnswer answer);
   void remove(const std::string& type, const std::string& name, const Target& target, ControlAnswer answer);
+  // Sends the write to the owner of the record.
   void write(Write write, ControlAnswer answer);
+  // Responds to a write once this daemon has applied it, or at the deadline.
   void answer_when_seen(const std::string& key, Stamp stamp, TimePoint until, ControlAnswer answer);
+  // A long poll: responds once the configuration's digest differs from the one in the query, or at the deadline.
   void watch(const Target& target, TimePoint until, ControlAnswer answer);
   void lots(const ControlRequest& request, const Target& target, ControlAnswer answer);
   void list_lots(ControlAnswer answer);
@@ -59,6 +69,7 @@
   LotCalls lots_;
 };
 
+// Parses the JSON body by which a client submits a lot.
 Result<LotSpecification> read_lot(StringView body);
 
 }  // namespace mothwalk
--- a/source/control/fleet_calls.cpp
+++ b/source/control/fleet_calls.cpp
@@ -1,4 +1,4 @@
-// Calls that concern the whole fleet, answered by the owners of what they are about.
+// Each call is decided by the owner of the record that it concerns.
 #include "control/fleet_calls.hpp"
 
 namespace mothwalk {
--- a/source/control/fleet_calls.hpp
+++ b/source/control/fleet_calls.hpp
@@ -1,5 +1,5 @@
-// Operators' calls on the fleet as a whole: the configuration that is changed as one document under the operators' own
-// revisions, evacuation of zones, and the retirement of machines that hold lots.
+// Operators' calls that concern the complete fleet: changes to the fleet configuration, evacuation of zones, and
+// retirement of machines that store lots.
 #pragma once
 #include "coding/json.hpp"
 #include "control/configuration_orders.hpp"
@@ -7,6 +7,7 @@
 
 namespace mothwalk {
 
+// Forwards each call to the owner of the record that it concerns.
 class FleetCalls {
  public:
   FleetCalls(Messenger& messenger, SharedState& shared_state)
@@ -14,15 +15,16 @@
         client_(messenger, shared_state),
         orders_(messenger, shared_state),
         zone_orders_(messenger, shared_state) {}
-  // As ConfigurationOrders::take.
+  // Changes the fleet configuration. See ConfigurationOrders::apply for the errors.
   void change(ConfigurationChange change, Duration limit, ReplyCallback<Version> answer);
+  // Reads the current fleet configuration.
   void show(Duration limit, ReplyCallback<FleetConfiguration> answer);
-  // As ZoneOrders::take.
+  // Begins or ends the evacuation of a zone. See ZoneOrders::apply for the errors.
   void evacuate(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer);
-  // Faults: unknown_name (no such machine), conflict (too few would remain), both by the word of the confirmed owner of
-  // the roster of those that hold lots; refused, unknown. Asked again, it is acknowledged again.
+  // Starts the retirement of a machine. The call is idempotent. Errors: unknown_name (no such machine) and conflict
+  // (too few machines would remain), both decided by the confirmed owner of the lot roster; refused; unknown.
   void retire(const std::string& machine, Duration limit, ReplyCallback<Success> answer);
-  // Whether all that the machine held is held by others, so that it may go with its disk.
+  // Whether others store all that the machine stores, so that it may be removed together with its disk.
   void retired(const std::string& machine, Duration limit, ReplyCallback<bool> answer);
 
  private:
--- a/source/control/order_history.cpp
+++ b/source/control/order_history.cpp
@@ -1,5 +1,5 @@
-// Revisions only rise, so each number was in force at most once, and an order whose number was passed over or taken by
-// another content can never be taken any more.
+// Revisions only rise, so each revision number is used at most once. An order can therefore never be applied any more
+// once its number was skipped, or was used by an order with another content.
 #include "control/order_history.hpp"
 
 #include "coding/cbor.hpp"
--- a/source/control/order_history.hpp
+++ b/source/control/order_history.hpp
@@ -1,39 +1,44 @@
-// The identities of the configuration orders that were taken. They are kept beside the configuration, as entries of its
-// record: committed with the change that they name, never part of what is spread to all daemons.
+// The history of applied configuration orders, by which an order that is sent again is recognized. The identities of
+// the orders are stored as entries of the configuration's record. An identity is therefore committed together with the
+// change that it belongs to, and is not part of what gossip distributes to all daemons.
 #pragma once
 #include "coding/fields.hpp"
 
 namespace mothwalk {
 
-// What makes an order of an operator the same order when it is sent again.
+// Identifies an operator's order: two requests with equal identities are the same order.
 struct OrderIdentity {
-  std::uint64_t base = 0;    // the revision that it builds on; 0 for the first
-  std::uint64_t number = 0;  // the revision that it makes
-  Bytes digest;              // of the call and its whole content, by digest_of
+  std::uint64_t base = 0;    // The revision that the order is based on. 0 for the first order.
+  std::uint64_t number = 0;  // The revision that the order creates.
+  Bytes digest;              // The digest_of the call with its complete content.
   MOTHWALK_FIELDS(base, number, digest)
   auto operator<=>(const OrderIdentity&) const = default;
 };
 
-// Whether an order was taken. Unknown: it is older than what is remembered.
+// Whether an order was applied. It is unknown for an order that is older than the recorded history.
 enum class OrderOutcome { taken, not_taken, unknown };
 
+// The recorded orders of one configuration record.
 class OrderHistory {
  public:
-  // An order may be sent again as long as it got no clear answer, and a day may hold hundreds of orders. At least
-  // `least_remembered` are known at any time; when `most_remembered` is reached, the oldest are dropped together.
+  // Operators send an order again until they get a definite reply, and there may be hundreds of orders a day. At least
+  // the last `least_remembered` orders are recorded at any time. When there are `most_remembered`, the oldest are
+  // dropped together.
   static constexpr std::size_t least_remembered = 1024, most_remembered = 2048;
 
-  // Reads the entries of the configuration's record, of which the newest made the revision in force. Entries before a
-  // gap in the chain (a change by an earlier release, which keeps no identities) are passed over.
+  // Reads the entries of the configuration's record. The newest entry belongs to the current revision, and each entry
+  // is based on the one before it. Entries before a gap in this chain are ignored: a gap is a change by an earlier
+  // release, which did not record identities.
   OrderHistory(const std::vector<Bytes>& entries, std::uint64_t current);
-  // Of an order that does not build on the revision in force.
+  // Looks up an order that is not based on the current revision.
   OrderOutcome find(const OrderIdentity& order) const;
-  // The entries that remain when an order is taken at `most_remembered` entries: the newest ones and the order.
+  // The entries to store when an order is applied while there are `most_remembered` entries: the newest of them, then
+  // the new order.
   static std::vector<Bytes> compacted(const std::vector<Bytes>& entries, const OrderIdentity& order);
 
  private:
-  std::map<std::uint64_t, OrderIdentity> by_number_;  // each builds on the one before it
-  std::uint64_t known_above_ = 0;                     // every revision above this one that was ever in force is known
+  std::map<std::uint64_t, OrderIdentity> by_number_;  // The recorded orders by the revision that they created.
+  std::uint64_t known_above_ = 0;                     // All orders that created a revision above this one are recorded.
 };
 
 }  // namespace mothwalk
--- a/source/control/zone_orders.cpp
+++ b/source/control/zone_orders.cpp
@@ -1,4 +1,5 @@
-// Read, and written on condition that the version is still the one that was read first.
+// An order reads the zone's record, and writes it on the condition that its version is still the one that was read
+// first.
 #include "control/zone_orders.hpp"
 
 namespace mothwalk {
@@ -8,7 +9,7 @@
   return Error{ErrorKind::unknown, key, std::move(message), "send the same order again"};
 }
 
-// Whether the kept state says that the zone is evacuated; a zone that nothing is kept about is not.
+// Whether the stored state says that the zone is evacuated. A zone without a record is not evacuated.
 bool evacuated_in(const ReadReply& reply) {
   if (!reply.found || reply.record.removed) return false;
   const auto zone = from_json<Zone>(reply.record.head);
--- a/source/control/zone_orders.hpp
+++ b/source/control/zone_orders.hpp
@@ -1,18 +1,20 @@
-// Operators' evacuations of zones and their ends. These orders have no identity: a zone is set to a state, and a call
-// that is late may not set it back.
+// Operators' orders to begin or end the evacuation of a zone. Unlike configuration orders these have no identity: an
+// order sets the zone to a state, and a delayed order must not undo a later one.
 #pragma once
 #include "configuration/resources.hpp"
 #include "replication/store_client.hpp"
 
 namespace mothwalk {
 
+// Executes these orders: reads the zone's record, and writes it where its state differs.
 class ZoneOrders {
  public:
   ZoneOrders(Messenger& messenger, SharedState& shared_state)
       : messenger_(messenger), client_(messenger, shared_state) {}
-  // Acknowledges once the zone's kept state is the wanted one. Changes it only from the version that was read first, so
-  // a call that is still under way can't undo what another order did meanwhile. Faults: refused (nothing was done),
-  // unknown (the zone was changed meanwhile, or time is up; send it again).
+  // Replies with success once the zone's stored state is the requested one. The state is changed only from the version
+  // that was read first, so an order that is still in progress can't undo what another order has changed meanwhile.
+  // Errors: refused (nothing was changed); unknown (the zone was changed meanwhile, or the timeout has expired; the
+  // same order should be sent again).
   void take(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer);
 
  private:
@@ -21,7 +23,7 @@
     bool evacuated = false;
     TimePoint until;
     ReplyCallback<Success> answer;
-    std::optional<std::uint64_t> version = {};  // of the zone's record when this call read it first
+    std::optional<std::uint64_t> version = {};  // The version of the zone's record at the first read.
   };
   using OrderPointer = std::shared_ptr<Order>;
   void read(const OrderPointer& order);
--- a/tests/order_history_test.cpp
+++ b/tests/order_history_test.cpp
@@ -1,4 +1,5 @@
-// The identities of orders that were taken: what is known, what is too old, what a gap hides, and how they are bounded.
+// Tests of the history of applied orders: which orders are recognized, which are too old, what a gap in the chain
+// means, and how the size of the history is bounded.
 #include <catch2/catch.hpp>
 
 #include "coding/cbor.hpp"
@@ -13,7 +14,7 @@
   return OrderIdentity{base, number, digest_of(content)};
 }
 
-// Revisions from the base up, in steps of two.
+// A chain of orders whose revisions rise from the base in steps of two.
 std::vector<Bytes> chain(std::uint64_t base, std::size_t count) {
   std::vector<Bytes> entries;
   for (std::size_t index = 0; index < count; ++index, base += 2) entries.push_back(to_cbor(order(base, base + 2)));
@@ -35,7 +36,7 @@
 }
 
 TEST_CASE("order history: a change without an identity hides all that is older") {
-  auto entries = chain(0, 5);  // up to 10
+  auto entries = chain(0, 5);  // These end at revision 10.
   const auto newer = chain(14, 2);
   entries.insert(entries.end(), newer.begin(), newer.end());
   CHECK(OrderHistory(entries, 18).find(order(14, 16)) == OrderOutcome::taken);
--- a/tests/replay_test.cpp
+++ b/tests/replay_test.cpp
@@ -1,4 +1,4 @@
-// A run is replayed exactly by its scenario and seed.
+// A simulated run is determined by its scenario and seed, so that a failure can be reproduced.
 #include <catch2/catch.hpp>
 
 #include "simulate/scenarios.hpp"
