--- a/source/gossip/configuration_gossip.cpp
+++ b/source/gossip/configuration_gossip.cpp
@@ -1,4 +1,4 @@
-// Spreading, comparing, mending, and the lease that a whole comparison brings.
+// Pushes and compares the configuration, and grants and renews the leases that depend on it.
 #include "gossip/configuration_gossip.hpp"
 
 #include <algorithm>
@@ -6,6 +6,7 @@
 namespace mothwalk {
 
 namespace {
+// The digest of a copy is the XOR of these hashes, so that it can be updated key by key.
 std::uint64_t item_hash(const ConfigurationUpdate& item) {
   return hash_of(item.key, item.stamp.epoch.value * 1000003 + item.stamp.version.value);
 }
@@ -40,6 +41,7 @@
   tick();
 }
 
+// Applies the updates that are newer than the stored ones. Returns whether there were any.
 bool ConfigurationGossip::take(std::vector<ConfigurationUpdate> items, bool spread) {
   std::vector<ConfigurationUpdate> fresh;
   for (auto& item : items) {
@@ -69,6 +71,8 @@
   }
 }
 
+// The lease that this daemon can grant: how long its latest comparisons with a majority of the voters stay valid. Zero
+// where that is over, or where this is not a control daemon.
 Duration ConfigurationGossip::majority_lease() const {
   if (!control_ || view_.roster.seats.empty()) return Duration{};
   const TimePoint now = messenger_.timers().now();
@@ -101,8 +105,9 @@
   messenger_.timers().after(round_span, [this] { tick(); });
 }
 
-// A lease that the home has not renewed in time is sought at the next few other candidates, and so on each round, so
-// that all of them were asked well before this daemon counts as standing alone.
+// The session server renews the lease in each round. If it has not done so in time, the next few other candidates are
+// asked, and further ones in each following round, so that all of them have been asked well before this daemon counts
+// as isolated.
 void ConfigurationGossip::renew_lease() {
   const Duration left = TimePoint{shared_state_.lease_until.load()} - messenger_.timers().now();
   if (left > renewal_margin) return void(search_turn_ = 0);
@@ -113,7 +118,8 @@
     compare(candidates[search_turn_++ % candidates.size()]);
 }
 
-// A gap between two ticks means that this process was frozen: the search for a lease begins anew.
+// Records since when this daemon has been without a lease. A gap between two rounds means that the process was
+// suspended; the time without a lease is then counted from now.
 void ConfigurationGossip::note_search() {
   const TimePoint now = messenger_.timers().now();
   const bool frozen = now.microseconds - shared_state_.gossip_tick.load() > 3 * round_span.count();
@@ -124,6 +130,7 @@
   shared_state_.gossip_tick = now.microseconds;
 }
 
+// Compares the copies of both daemons, sends the peer what is newer here, and fetches what is newer there.
 void ConfigurationGossip::compare(const Address& peer) {
   if (!comparing_.insert(peer).second) return;
   const TimePoint began = messenger_.timers().now();
@@ -155,6 +162,8 @@
                      });
 }
 
+// Both copies are equal now as far as the peer's reply tells, so a lease that it granted takes effect. The lease counts
+// from the time when the comparison began, and is never longer than the regular one.
 void ConfigurationGossip::finish(const Address& peer, TimePoint began, Duration lease) {
   comparing_.erase(peer);
   compared_[peer] = began;
--- a/source/listing/listing.cpp
+++ b/source/listing/listing.cpp
@@ -1,4 +1,4 @@
-// Reading pages, gathering them, and telling what changed.
+// Fetches the pages of the list, collects the runners, and publishes the list when it has changed.
 #include "listing/listing.hpp"
 
 #include "gossip/configuration_gossip.hpp"
@@ -8,10 +8,11 @@
 namespace {
 using std::chrono::milliseconds;
 constexpr Duration page_span = milliseconds(600);
-constexpr std::size_t most_pages = 200;  // a list whose pages lead in a circle ends here
+constexpr std::size_t most_pages = 200;  // Stops the read of a list whose page cursors form a loop.
 constexpr std::size_t longest_page = 4u << 20;
 
-// Cold time runs down by itself: only that it begins, ends or grows is news.
+// Whether the list is unchanged. The remaining cold time decreases steadily, so a decrease does not count as a change;
+// only its beginning, its end and an increase do.
 bool same_listing(const RunnerListing& told, const RunnerListing& now) {
   if (told.runners.size() != now.runners.size()) return false;
   for (const auto& [name, runner] : now.runners) {
@@ -31,6 +32,7 @@
  public:
   explicit Watcher(std::function<void(std::optional<ListBody>)> then) : then_(std::move(then)) {}
   void on_head(int status, const std::vector<Header>&) override { body_.status = status; }
+  // A page above the size limit counts as failed: its status is set to 0.
   void on_chunk(StringView piece) override {
     if (body_.body.size() + piece.size() <= longest_page)
       body_.body.append(piece);
@@ -98,7 +100,8 @@
   const std::string target = source_.target(next);
   const auto members = shared_state_.members.get();
   std::vector<Address> others;
-  // After two failures on its own way others read for it; now and then the own way is tried again.
+  // After two failures on the direct way, other daemons fetch the pages. Every eighth read goes the direct way again,
+  // to find out whether that works.
   through_others_ = failures_ >= 2 && reads_ % 8 != 0;
   if (through_others_)
     for (const auto& [address, member] : members->all)
