--- a/source/operator/main.cpp
+++ b/source/operator/main.cpp
@@ -1,5 +1,5 @@
-// mothwalk-operator: the command line over the whole fleet. It speaks to any daemon's control side, shows tables or
-// JSON, and ends with a code that tells what went wrong.
+// mothwalk-operator: the command line tool for operators. It calls any daemon's control address, prints tables or JSON,
+// and reports by its exit code what went wrong.
 #include <getopt.h>
 
 #include <algorithm>
@@ -41,10 +41,12 @@
 Exit codes: 0 done, 1 refused or not found, 2 wrong use, 3 no daemon answered, 4 the outcome is not known.
 )";
 
+// Sends calls to the daemons and prints results.
 struct Tool {
   std::vector<Address> controls;
   bool as_json = false;
 
+  // Prints the error and returns the exit code for it.
   int say(const Error& error) const {
     if (as_json)
       std::cerr << json::serialize(error_to_json(error)) << "\n";
@@ -57,7 +59,7 @@
                                                                           : 1;
   }
 
-  // Goes to the first daemon that answers; a call that may have taken effect is not sent to a second one.
+  // Calls the first daemon that replies. A call that may have taken effect is not sent to a second daemon.
   Result<json::value> call(StringView method, const std::string& target, StringView body = "") const {
     Error last{ErrorKind::lost, "control", "no control address is given",
                "name one with --control or MOTHWALK_CONTROL"};
@@ -108,7 +110,7 @@
   return value.is_string() ? std::string(value.as_string()) : json::serialize(value);
 }
 
-// The fields of a list of objects as a table.
+// Prints the given fields of a list of objects as a table, or the complete reply as JSON.
 int show_list(const Tool& tool, const json::value& whole, const json::array& list,
               const std::vector<std::string>& fields) {
   if (tool.as_json) return std::cout << json::serialize(whole) << "\n", 0;
@@ -138,6 +140,7 @@
   return 0;
 }
 
+// Writes a resource. Without a version, the current one is read first, and nothing is written if the spec is the same.
 int put(const Tool& tool, const std::string& type, const std::string& name, const json::value& spec,
         std::optional<std::uint64_t> version) {
   const std::string path = "/v1/resources/" + type + "/" + name;
@@ -217,7 +220,7 @@
 int apply(const Tool& tool, const std::string& file) {
   auto documents = documents_of(file);
   if (auto error = error_of(documents)) return tool.say(*error);
-  // All are checked before the first is sent: a faulty file changes nothing.
+  // All documents are validated before the first one is sent, so that an invalid file changes nothing.
   auto view = current_view(tool);
   if (auto error = error_of(view)) return tool.say(*error);
   auto made = plan(std::get<std::vector<Document>>(documents), std::get<ConfigurationView>(view));
@@ -267,7 +270,7 @@
   return 0;
 }
 
-// Each aim against what all daemons have counted since they started; 1 if one is not met.
+// Compares each aim with the requests that all daemons have counted since they started. Returns 1 if one is not met.
 int aims(const Tool& tool) {
   auto view = current_view(tool);
   if (auto error = error_of(view)) return tool.say(*error);
--- a/source/operator/planner.cpp
+++ b/source/operator/planner.cpp
@@ -1,4 +1,5 @@
-// One pass over the documents: check, compare, note what it means for lanes, circles and zones.
+// Validates the documents one after another, compares each with the current resource, and then reports the effects on
+// lanes, circles and zones.
 #include "operator/planner.hpp"
 
 #include <algorithm>
@@ -82,6 +83,7 @@
   return spec_in(view.holders, name);
 }
 
+// The runners of a kind that may get work: those that are neither leaving nor in an evacuated zone.
 struct Able {
   std::size_t runners = 0;
   std::map<std::string, std::size_t> by_zone;
