--- a/source/control/configuration_orders.cpp
+++ b/source/control/configuration_orders.cpp
@@ -7,22 +7,23 @@
 namespace mothwalk {
 
 namespace {
-Error not_above(std::uint64_t number, std::uint64_t base) {
+Error revision_not_above_base(std::uint64_t number, std::uint64_t base) {
   return Error{
       ErrorKind::invalid, "revision",
-      "revision " + std::to_string(number) + " is not above the one that it builds on, " + std::to_string(base),
-      "give a higher one"};
+      "revision " + std::to_string(number) + " is not above the revision that it is based on, " + std::to_string(base),
+      "choose a higher revision"};
 }
 
-Error another_is_current(std::uint64_t current, std::uint64_t base) {
+Error revision_conflict(std::uint64_t current, std::uint64_t base) {
   return Error{ErrorKind::conflict, "base",
-               "revision " + std::to_string(current) + " is current, not " + std::to_string(base),
-               "read the configuration again and build on that"};
+               "the current revision is " + std::to_string(current) + ", not " + std::to_string(base),
+               "read the configuration again and base the change on that"};
 }
 
-Error not_remembered() {
-  return Error{ErrorKind::unknown, "base", "the change is older than those that are remembered; it may have been taken",
-               "read the configuration again and build on that"};
+Error order_too_old() {
+  return Error{ErrorKind::unknown, "base",
+               "the change is older than the recorded history of changes; it may have been applied",
+               "read the configuration again and base the change on that"};
 }
 }  // namespace
 
@@ -30,64 +31,66 @@
   if (!reply.found || reply.record.removed) return FleetConfiguration{};
   auto read = from_cbor<FleetConfiguration>(reply.record.head);
   if (!read)
-    return Error{ErrorKind::damaged, "configuration", "the kept configuration can't be read",
+    return Error{ErrorKind::damaged, "configuration", "the stored configuration can't be decoded",
                  "run the version of mothwalk that wrote it"};
   return std::move(*read);
 }
 
-void ConfigurationOrders::take(ConfigurationChange change, Duration limit, ReplyCallback<Version> answer) {
+void ConfigurationOrders::apply(ConfigurationChange change, Duration timeout, ReplyCallback<Version> send_reply) {
   const OrderIdentity& identity = change.identity;
-  if (identity.number <= identity.base) return answer(not_above(identity.number, identity.base));
-  const TimePoint until = messenger_.timers().now() + limit;
-  read(std::make_shared<Order>(Order{std::move(change), until, std::move(answer)}), true);
+  if (identity.number <= identity.base) return send_reply(revision_not_above_base(identity.number, identity.base));
+  const TimePoint deadline = messenger_.timers().now() + timeout;
+  read(std::make_shared<Order>(Order{std::move(change), deadline, std::move(send_reply)}), true);
 }
 
 void ConfigurationOrders::read(const OrderPointer& order, bool head_only) {
   client_.read(
-      std::string(configuration_key), order->until - messenger_.timers().now(),
+      std::string(configuration_key), order->deadline - messenger_.timers().now(),
       [this, order, head_only](Result<ReadReply> result) {
         auto error = error_of(result);
         if (error == nullptr) return decide(order, std::get<ReadReply>(result), head_only);
-        order->answer(order->sent ? Error{ErrorKind::unknown, error->field, error->message, error->remedy} : *error);
+        order->send_reply(order->sent ? Error{ErrorKind::unknown, error->field, error->message, error->remedy}
+                                      : *error);
       },
       head_only);
 }
 
 void ConfigurationOrders::decide(const OrderPointer& order, const ReadReply& reply, bool head_only) {
-  auto kept = configuration_of(reply);
-  if (auto error = error_of(kept)) return order->answer(*error);
-  const FleetConfiguration& current = std::get<FleetConfiguration>(kept);
+  auto decoded = configuration_of(reply);
+  if (auto error = error_of(decoded)) return order->send_reply(*error);
+  const FleetConfiguration& current = std::get<FleetConfiguration>(decoded);
   const OrderIdentity& identity = order->change.identity;
-  const bool on_its_base = current.revision == identity.base;
+  const bool base_is_current = current.revision == identity.base;
   // Revisions only rise, so an order with a number above the current revision was never applied.
-  if (!on_its_base && identity.number > current.revision)
-    return order->answer(another_is_current(current.revision, identity.base));
-  const bool needs_history = !on_its_base || reply.entries >= OrderHistory::most_remembered;
+  if (!base_is_current && identity.number > current.revision)
+    return order->send_reply(revision_conflict(current.revision, identity.base));
+  const bool needs_history = !base_is_current || reply.entries >= OrderHistory::most_remembered;
   if (head_only && needs_history) return read(order, false);
-  if (on_its_base) return build(order, reply, current);
+  if (base_is_current) return make_next(order, reply, current);
   decide_by_history(order, reply, current.revision);
 }
 
 void ConfigurationOrders::decide_by_history(const OrderPointer& order, const ReadReply& reply, std::uint64_t current) {
   const OrderIdentity& identity = order->change.identity;
   switch (OrderHistory(reply.record.entries, current).find(identity)) {
-    case OrderOutcome::taken:
-      return order->answer(Version{identity.number});
-    case OrderOutcome::not_taken:
-      return order->answer(another_is_current(current, identity.base));
-    case OrderOutcome::unknown:
-      return order->answer(not_remembered());
+    case OrderState::applied:
+      return order->send_reply(Version{identity.number});
+    case OrderState::not_applied:
+      return order->send_reply(revision_conflict(current, identity.base));
+    case OrderState::unknown:
+      return order->send_reply(order_too_old());
   }
 }
 
-void ConfigurationOrders::build(const OrderPointer& order, const ReadReply& reply, const FleetConfiguration& current) {
-  auto made = order->change.make(current);
-  if (auto error = error_of(made)) return order->answer(*error);
+void ConfigurationOrders::make_next(const OrderPointer& order, const ReadReply& reply,
+                                    const FleetConfiguration& current) {
+  auto next_document = order->change.make(current);
+  if (auto error = error_of(next_document)) return order->send_reply(*error);
   const OrderIdentity& identity = order->change.identity;
   const bool exists = reply.found && !reply.record.removed;
   Write change;
   change.key = std::string(configuration_key);
-  change.head = to_cbor(FleetConfiguration{identity.number, std::move(std::get<Bytes>(made))});
+  change.head = to_cbor(FleetConfiguration{identity.number, std::move(std::get<Bytes>(next_document))});
   change.expected = exists ? reply.record.stamp.version.value : 0;
   change.token = identity.digest;
   change.replaces_entries = reply.entries >= OrderHistory::most_remembered;
@@ -97,17 +100,19 @@
 }
 
 void ConfigurationOrders::write(const OrderPointer& order, Write change) {
-  client_.write(std::move(change), order->until - messenger_.timers().now(), [this, order](Result<WriteReply> written) {
-    auto error = error_of(written);
-    if (error == nullptr) return order->answer(Version{order->change.identity.number});
-    const bool time_left = messenger_.timers().now() < order->until;
-    // Another change, or an earlier copy of this one, was written in the meantime, or the outcome of this
-    // write is not known. The current record shows which is the case.
-    const bool settled_by_reading = error->kind == ErrorKind::stale || (error->kind == ErrorKind::unknown && time_left);
-    if (!settled_by_reading) return order->answer(*error);
-    order->sent = true;
-    read(order, true);
-  });
+  client_.write(std::move(change), order->deadline - messenger_.timers().now(),
+                [this, order](Result<WriteReply> written) {
+                  auto error = error_of(written);
+                  if (error == nullptr) return order->send_reply(Version{order->change.identity.number});
+                  const bool time_left = messenger_.timers().now() < order->deadline;
+                  // Another change, or an earlier copy of this one, was written in the meantime, or the outcome of this
+                  // write is not known. The current record shows which is the case.
+                  const bool resolved_by_reading =
+                      error->kind == ErrorKind::stale || (error->kind == ErrorKind::unknown && time_left);
+                  if (!resolved_by_reading) return order->send_reply(*error);
+                  order->sent = true;
+                  read(order, true);
+                });
 }
 
 }  // namespace mothwalk
--- a/source/control/configuration_orders.hpp
+++ b/source/control/configuration_orders.hpp
@@ -26,13 +26,13 @@
   //   conflict: another revision is current, and this order was not applied and never will be;
   //   unknown: the outcome is not known, and the same order should be sent again;
   //   refused: nothing was changed.
-  void take(ConfigurationChange change, Duration limit, ReplyCallback<Version> answer);
+  void apply(ConfigurationChange change, Duration timeout, ReplyCallback<Version> send_reply);
 
  private:
   struct Order {
     ConfigurationChange change;
-    TimePoint until;
-    ReplyCallback<Version> answer;
+    TimePoint deadline;
+    ReplyCallback<Version> send_reply;
     bool sent = false;  // A write for this order may have reached the owner of the record.
   };
   using OrderPointer = std::shared_ptr<Order>;
@@ -40,7 +40,7 @@
   void read(const OrderPointer& order, bool head_only);
   void decide(const OrderPointer& order, const ReadReply& reply, bool head_only);
   void decide_by_history(const OrderPointer& order, const ReadReply& reply, std::uint64_t current);
-  void build(const OrderPointer& order, const ReadReply& reply, const FleetConfiguration& current);
+  void make_next(const OrderPointer& order, const ReadReply& reply, const FleetConfiguration& current);
   void write(const OrderPointer& order, Write write);
 
   Messenger& messenger_;
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -11,21 +11,21 @@
 using std::chrono::milliseconds;
 constexpr Duration write_timeout = milliseconds(5000);
 
-ControlReply faulty(const Error& error) {
-  const bool again = error.kind == ErrorKind::refused || error.kind == ErrorKind::unknown ||
-                     error.kind == ErrorKind::busy || error.kind == ErrorKind::lost;
+ControlReply error_reply(const Error& error) {
+  const bool may_retry = error.kind == ErrorKind::refused || error.kind == ErrorKind::unknown ||
+                         error.kind == ErrorKind::busy || error.kind == ErrorKind::lost;
   json::value body = error_to_json(error);
   body.as_object()["outcome"] =
       error.kind == ErrorKind::unknown || error.kind == ErrorKind::lost ? "unknown" : "refused";
-  return ControlReply{error_status(error.kind), std::move(body), again};
+  return ControlReply{error_status(error.kind), std::move(body), may_retry};
 }
 
-Error no_such_call(const ControlRequest& request) {
+Error unknown_call(const ControlRequest& request) {
   return Error{ErrorKind::unknown_name, "path", "there is no call " + request.method + " " + request.target,
-               "see the operators' page for the calls"};
+               "see the documentation for operators for the available calls"};
 }
 
-std::optional<std::uint64_t> whole_number(const std::string& text) {
+std::optional<std::uint64_t> parse_integer(const std::string& text) {
   if (text.empty() || text.size() > 18 || text.find_first_not_of("0123456789") != std::string::npos)
     return std::nullopt;
   return std::stoull(text);
@@ -60,7 +60,7 @@
                       {"spec", to_json(entry.spec)}};
 }
 
-Error no_type(const std::string& type) {
+Error unknown_type(const std::string& type) {
   return Error{ErrorKind::unknown_name, "type", "no resource has the type '" + type + "'",
                "use one of: " + resource_types() + ", circle"};
 }
@@ -71,7 +71,8 @@
   if (auto error = error_of(parsed)) return *error;
   const json::value& value = std::get<json::value>(parsed);
   if (!value.is_object())
-    return Error{ErrorKind::invalid, "body", "the lot is not an object", "give {\"lane\", \"deadline\", \"items\"}"};
+    return Error{ErrorKind::invalid, "body", "the lot is not a JSON object",
+                 "give an object with lane, deadline and items"};
   LotSpecification head;
   const json::value* items = nullptr;
   for (const auto& each : value.as_object()) {
@@ -88,9 +89,9 @@
     if (error) return *error;
   }
   if (head.lane.empty())
-    return Error{ErrorKind::invalid, "lane", "the lot names no lane", "give the lane that its items go by"};
+    return Error{ErrorKind::invalid, "lane", "the lot names no lane", "name the lane that its items belong to"};
   if (items == nullptr || !items->is_array())
-    return Error{ErrorKind::invalid, "items", "the items are not a list", "give a list of JSON values"};
+    return Error{ErrorKind::invalid, "items", "the items are missing or not a list", "give a list of JSON values"};
   for (const auto& item : items->as_array())
     head.items.push_back(
         LotItem{"", "", {}, item.is_string() ? std::string(item.as_string()) : json::serialize(item), 0});
@@ -98,84 +99,86 @@
 }
 
 Control::Control(Messenger& messenger, SharedState& shared_state, RandomSource& random, Member self,
-                 std::function<json::value()> own_load)
+                 std::function<json::value()> load_json)
     : messenger_(messenger),
       shared_state_(shared_state),
       random_(random),
       self_(std::move(self)),
-      own_load_(std::move(own_load)),
+      load_json_(std::move(load_json)),
       client_(messenger, shared_state),
       lots_(messenger, shared_state) {}
 
-std::optional<Control::Target> Control::split(StringView target) {
-  Target split;
+std::optional<Control::Target> Control::parse_target(StringView target) {
+  Target parsed;
   const auto mark = target.find('?');
   StringView path = target.substr(0, mark);
   if (path.empty() || path[0] != '/') return std::nullopt;
   path.remove_prefix(1);
   while (!path.empty()) {
     const auto slash = path.find('/');
-    split.parts.emplace_back(path.substr(0, slash));
+    parsed.parts.emplace_back(path.substr(0, slash));
     if (slash == StringView::npos) break;
     path.remove_prefix(slash + 1);
   }
   // The names used before release 0.2 are accepted for one more release.
-  if (split.parts.size() > 1 && split.parts[1] == "soundness") split.parts[1] = "health";
-  if (split.parts.size() > 1 && split.parts[1] == "usage") split.parts[1] = "load";
-  if (split.parts.size() > 2) split.parts[2] = current_type(split.parts[2]);
+  if (parsed.parts.size() > 1 && parsed.parts[1] == "soundness") parsed.parts[1] = "health";
+  if (parsed.parts.size() > 1 && parsed.parts[1] == "usage") parsed.parts[1] = "load";
+  if (parsed.parts.size() > 2) parsed.parts[2] = current_type(parsed.parts[2]);
   StringView query = mark == StringView::npos ? StringView{} : target.substr(mark + 1);
   while (!query.empty()) {
     const auto end = query.find('&');
     const StringView pair = query.substr(0, end);
     const auto equals = pair.find('=');
-    split.query[std::string(pair.substr(0, equals))] =
+    parsed.query[std::string(pair.substr(0, equals))] =
         equals == StringView::npos ? "" : std::string(pair.substr(equals + 1));
     if (end == StringView::npos) break;
     query.remove_prefix(end + 1);
   }
-  return split;
+  return parsed;
 }
 
-void Control::handle(ControlRequest request, ControlAnswer answer) {
-  const auto target = split(request.target);
-  if (!target || target->parts.empty()) return answer(faulty(no_such_call(request)));
+void Control::handle(ControlRequest request, ControlAnswer respond) {
+  const auto target = parse_target(request.target);
+  if (!target || target->parts.empty()) return respond(error_reply(unknown_call(request)));
   const auto& parts = target->parts;
-  if (parts[0] == "lots") return lots(request, *target, std::move(answer));
-  if (request.callers || parts[0] != "v1" || parts.size() < 2) return answer(faulty(no_such_call(request)));
+  if (parts[0] == "lots") return handle_lots(request, *target, std::move(respond));
+  if (request.callers || parts[0] != "v1" || parts.size() < 2) return respond(error_reply(unknown_call(request)));
   if (parts[1] == "resources" && (parts.size() == 3 || parts.size() == 4))
-    return resources(request, *target, std::move(answer));
-  if (request.method != "GET" || parts.size() != 2) return answer(faulty(no_such_call(request)));
-  if (parts[1] == "health") return answer(ControlReply{200, health(), false});
-  if (parts[1] == "load") return answer(ControlReply{200, own_load_(), false});
+    return handle_resources(request, *target, std::move(respond));
+  if (request.method != "GET" || parts.size() != 2) return respond(error_reply(unknown_call(request)));
+  if (parts[1] == "health") return respond(ControlReply{200, health_json(), false});
+  if (parts[1] == "load") return respond(ControlReply{200, load_json_(), false});
   if (parts[1] == "members") {
     json::array list;
     for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
       list.push_back(to_json(member));
-    return answer(ControlReply{200, json::object{{"members", list}}, false});
+    return respond(ControlReply{200, json::object{{"members", list}}, false});
   }
-  if (parts[1] == "roster") return answer(ControlReply{200, to_json(shared_state_.configuration.get()->roster), false});
-  if (parts[1] == "watch") return watch(*target, messenger_.timers().now() + milliseconds(20000), std::move(answer));
-  answer(faulty(no_such_call(request)));
+  if (parts[1] == "roster")
+    return respond(ControlReply{200, to_json(shared_state_.configuration.get()->roster), false});
+  if (parts[1] == "watch") return watch(*target, messenger_.timers().now() + milliseconds(20000), std::move(respond));
+  respond(error_reply(unknown_call(request)));
 }
 
-void Control::resources(const ControlRequest& request, const Target& target, ControlAnswer answer) {
+void Control::handle_resources(const ControlRequest& request, const Target& target, ControlAnswer respond) {
   const std::string& type = target.parts[2];
-  if (!is_resource_type(type) && type != "circle") return answer(faulty(no_type(type)));
+  if (!is_resource_type(type) && type != "circle") return respond(error_reply(unknown_type(type)));
   if (target.parts.size() == 3) {
-    if (request.method != "GET") return answer(faulty(no_such_call(request)));
-    return answer(ControlReply{200, listing(type), false});
+    if (request.method != "GET") return respond(error_reply(unknown_call(request)));
+    return respond(ControlReply{200, list_resources(type), false});
   }
   const std::string& name = target.parts[3];
-  if (request.method == "GET") return show(type, name, std::move(answer));
+  if (request.method == "GET") return get_resource(type, name, std::move(respond));
   if (type == "circle")
-    return answer(faulty(Error{ErrorKind::conflict, "type", "circles are decided by the system",
-                               "change the kind's circle settings instead"}));
-  if (request.method == "PUT") return put(type, name, request, target, std::move(answer), true);
-  if (request.method == "DELETE") return remove(type, name, target, std::move(answer));
-  answer(faulty(no_such_call(request)));
+    return respond(
+        error_reply(Error{ErrorKind::conflict, "type", "circles are managed by the system and can't be written",
+                          "change the circle settings of the kind instead"}));
+  if (request.method == "PUT") return put_resource(type, name, request, target, std::move(respond), true);
+  if (request.method == "DELETE") return delete_resource(type, name, target, std::move(respond));
+  respond(error_reply(unknown_call(request)));
 }
 
-json::value Control::listing(const std::string& type) const {
+json::value Control::list_resources(const std::string& type) const {
   const auto configuration = shared_state_.configuration.get();
   json::array list;
   with_table(*configuration, type, [&](const auto& table) {
@@ -184,127 +187,134 @@
   return json::object{{"digest", std::to_string(configuration->digest)}, {"resources", list}};
 }
 
-void Control::put(const std::string& type, const std::string& name, const ControlRequest& request, const Target& target,
-                  ControlAnswer answer, bool second_look) {
+void Control::put_resource(const std::string& type, const std::string& name, const ControlRequest& request,
+                           const Target& target, ControlAnswer respond, bool retry_once) {
   const auto configuration = shared_state_.configuration.get();
   auto checked = check_document(type, name, request.body, *configuration);
   if (auto error = error_of(checked)) {
-    if (!second_look) return answer(faulty(*error));
+    if (!retry_once) return respond(error_reply(*error));
     // A resource that the document refers to may have been written at another daemon and not have arrived here yet. The
     // check is repeated once, after a round of gossip.
-    messenger_.timers().after(milliseconds(400), [this, type, name, request, target, answer] {
-      put(type, name, request, target, answer, false);
+    messenger_.timers().after(milliseconds(400), [this, type, name, request, target, respond] {
+      put_resource(type, name, request, target, respond, false);
     });
     return;
   }
   std::uint64_t expected = 0;
   if (auto given = target.query.find("version"); given != target.query.end()) {
-    auto number = whole_number(given->second);
+    auto number = parse_integer(given->second);
     if (!number)
-      return answer(faulty(Error{ErrorKind::invalid, "version", "the version is not a whole number",
-                                 "give the version that you read, or 0 to create"}));
+      return respond(error_reply(Error{ErrorKind::invalid, "version", "the version is not an integer",
+                                       "give the version that you read, or 0 to create"}));
     expected = *number;
   }
   Write change;
   change.key = type + "/" + name;
   change.head = std::move(std::get<Bytes>(checked));
   change.expected = expected;
-  write(std::move(change), std::move(answer));
+  write(std::move(change), std::move(respond));
 }
 
-void Control::remove(const std::string& type, const std::string& name, const Target& target, ControlAnswer answer) {
+void Control::delete_resource(const std::string& type, const std::string& name, const Target& target,
+                              ControlAnswer respond) {
   const auto configuration = shared_state_.configuration.get();
   auto checked = check_removal(type, name, *configuration);
-  if (auto error = error_of(checked)) return answer(faulty(*error));
+  if (auto error = error_of(checked)) return respond(error_reply(*error));
   Write change;
   change.key = type + "/" + name;
   change.removed = true;
   auto given = target.query.find("version");
-  if (given == target.query.end() || !whole_number(given->second))
-    return answer(faulty(Error{ErrorKind::invalid, "version", "a removal names the version that it removes",
-                               "add ?version=N with the version that you read"}));
-  change.expected = *whole_number(given->second);
+  if (given == target.query.end() || !parse_integer(given->second))
+    return respond(
+        error_reply(Error{ErrorKind::invalid, "version", "the version to be removed is missing or not an integer",
+                          "add ?version=N with the version that you read"}));
+  change.expected = *parse_integer(given->second);
   if (*change.expected == 0)
-    return answer(faulty(Error{ErrorKind::unknown_name, "name", "there is nothing of this name", "check the name"}));
-  write(std::move(change), std::move(answer));
+    return respond(
+        error_reply(Error{ErrorKind::unknown_name, "name", "there is no resource with this name", "check the name"}));
+  write(std::move(change), std::move(respond));
 }
 
-void Control::write(Write change, ControlAnswer answer) {
+void Control::write(Write change, ControlAnswer respond) {
   change.token = self_.address.text + "/" + std::to_string(self_.incarnation) + "/" + std::to_string(random_.next());
   const std::string key = change.key;
-  client_.write(std::move(change), write_timeout, [this, key, answer](Result<WriteReply> result) {
-    if (auto error = error_of(result)) return answer(faulty(*error));
-    answer_when_seen(key, std::get<WriteReply>(result).stamp, messenger_.timers().now() + milliseconds(1000), answer);
+  client_.write(std::move(change), write_timeout, [this, key, respond](Result<WriteReply> result) {
+    if (auto error = error_of(result)) return respond(error_reply(*error));
+    respond_when_applied(key, std::get<WriteReply>(result).stamp, messenger_.timers().now() + milliseconds(1000),
+                         respond);
   });
 }
 
 // Delays the response until the change has arrived here by gossip, but not beyond the deadline, so that the next call
 // to this daemon sees the change.
-void Control::answer_when_seen(const std::string& key, Stamp stamp, TimePoint until, ControlAnswer answer) {
+void Control::respond_when_applied(const std::string& key, Stamp stamp, TimePoint deadline, ControlAnswer respond) {
   const auto configuration = shared_state_.configuration.get();
   const auto slash = key.find('/');
   const std::string type = key.substr(0, slash), name = key.substr(slash + 1);
-  bool seen = true;
+  bool applied = true;
   with_table(*configuration, type, [&](const auto& table) {
     auto* entry = find_in(table, name);
-    seen = entry != nullptr && entry->stamp >= stamp;
+    applied = entry != nullptr && entry->stamp >= stamp;
   });
-  if (!seen && messenger_.timers().now() < until) {
-    messenger_.timers().after(milliseconds(10),
-                              [this, key, stamp, until, answer] { answer_when_seen(key, stamp, until, answer); });
+  if (!applied && messenger_.timers().now() < deadline) {
+    messenger_.timers().after(milliseconds(10), [this, key, stamp, deadline, respond] {
+      respond_when_applied(key, stamp, deadline, respond);
+    });
     return;
   }
-  answer(ControlReply{
+  respond(ControlReply{
       200, json::object{{"type", type}, {"name", name}, {"version", stamp.version.value}, {"epoch", stamp.epoch.value}},
       false});
 }
 
-void Control::show(const std::string& type, const std::string& name, ControlAnswer answer) {
+void Control::get_resource(const std::string& type, const std::string& name, ControlAnswer respond) {
   // Reads the record from its owner, which has it confirmed by a majority, and asks each member whether it has applied
   // that version.
-  client_.read(type + "/" + name, milliseconds(3000), [this, type, name, answer](Result<ReadReply> result) {
-    if (auto error = error_of(result)) return answer(faulty(*error));
+  client_.read(type + "/" + name, milliseconds(3000), [this, type, name, respond](Result<ReadReply> result) {
+    if (auto error = error_of(result)) return respond(error_reply(*error));
     const ReadReply reply = std::get<ReadReply>(result);
     if (!reply.found || reply.record.removed)
-      return answer(faulty(Error{ErrorKind::unknown_name, "name", "there is no " + type + " of the name '" + name + "'",
-                                 "check the name"}));
+      return respond(error_reply(
+          Error{ErrorKind::unknown_name, "name", "there is no " + type + " named '" + name + "'", "check the name"}));
     const auto members = shared_state_.members.get();
-    struct Count {
-      std::size_t left = 0, taken = 0;
-      json::array waiting;
+    struct Progress {
+      std::size_t replies_missing = 0, applied = 0;
+      json::array not_applied;
     };
-    auto count = std::make_shared<Count>();
-    count->left = members->all.size();
+    auto progress = std::make_shared<Progress>();
+    progress->replies_missing = members->all.size();
     const std::size_t all = members->all.size();
-    auto finish = [count, all, type, name, reply, answer] {
+    auto finish = [progress, all, type, name, reply, respond] {
       auto spec = parse_json(reply.record.head);
       json::object body{{"type", type},
                         {"name", name},
                         {"version", reply.record.stamp.version.value},
                         {"epoch", reply.record.stamp.epoch.value},
                         {"spec", error_of(spec) ? json::value(nullptr) : std::get<json::value>(spec)}};
-      body["status"] = json::object{{"taken", count->taken}, {"members", all}, {"waiting", count->waiting}};
-      answer(ControlReply{200, body, false});
+      body["status"] = json::object{{"taken", progress->applied}, {"members", all}, {"waiting", progress->not_applied}};
+      respond(ControlReply{200, body, false});
     };
     for (const auto& [address, member] : members->all)
-      messenger_.request(address, Taken{type + "/" + name}, milliseconds(500),
-                         [count, address = address, stamp = reply.record.stamp, finish](Result<TakenReply> taken) {
-                           auto* given = std::get_if<TakenReply>(&taken);
-                           if (given != nullptr && given->found && given->stamp >= stamp)
-                             ++count->taken;
-                           else
-                             count->waiting.push_back(json::value(json::string(address.text)));
-                           if (--count->left == 0) finish();
-                         });
+      messenger_.request(
+          address, Taken{type + "/" + name}, milliseconds(500),
+          [progress, address = address, stamp = reply.record.stamp, finish](Result<AppliedStampReply> member_result) {
+            auto* member_reply = std::get_if<AppliedStampReply>(&member_result);
+            if (member_reply != nullptr && member_reply->found && member_reply->stamp >= stamp)
+              ++progress->applied;
+            else
+              progress->not_applied.push_back(json::value(json::string(address.text)));
+            if (--progress->replies_missing == 0) finish();
+          });
   });
 }
 
-void Control::watch(const Target& target, TimePoint until, ControlAnswer answer) {
+void Control::watch(const Target& target, TimePoint deadline, ControlAnswer respond) {
   const auto configuration = shared_state_.configuration.get();
   auto given = target.query.find("digest");
   if (given != target.query.end() && given->second == std::to_string(configuration->digest) &&
-      messenger_.timers().now() < until) {
-    messenger_.timers().after(milliseconds(100), [this, target, until, answer] { watch(target, until, answer); });
+      messenger_.timers().now() < deadline) {
+    messenger_.timers().after(milliseconds(100),
+                              [this, target, deadline, respond] { watch(target, deadline, respond); });
     return;
   }
   json::object body{{"digest", std::to_string(configuration->digest)}};
@@ -314,15 +324,15 @@
       for (const auto& [name, entry] : table) list.push_back(resource_json(type, name, entry));
     });
   body["resources"] = std::move(list);
-  answer(ControlReply{200, body, false});
+  respond(ControlReply{200, body, false});
 }
 
-json::value Control::health() const {
+json::value Control::health_json() const {
   const TimePoint now = messenger_.timers().now();
   const auto members = shared_state_.members.get();
   const auto configuration = shared_state_.configuration.get();
   const auto owned = shared_state_.owned.get();
-  const bool permitted = shared_state_.has_lease(now);
+  const bool has_lease = shared_state_.has_lease(now);
   json::array zones;
   for (const auto& [name, zone] : configuration->zones)
     if (zone.spec.evacuated) zones.push_back(json::value(json::string(name)));
@@ -330,7 +340,7 @@
                       {"zone", self_.zone.text},
                       {"version", self_.version},
                       {"state", shared_state_.draining                 ? "draining"
-                                : permitted                            ? "serving"
+                                : has_lease                            ? "serving"
                                 : shared_state_.lease_until.load() < 0 ? "starting"
                                                                        : "static"},
                       {"holder", self_.holder.text},
@@ -350,82 +360,83 @@
   for (auto& result : text.at("results").as_array()) {
     const auto& body = result.at("body").as_string();
     if (is_text(body)) continue;
-    const std::string form = base64(body);
-    result.as_object()["body"] = form;
+    const std::string encoded = base64(body);
+    result.as_object()["body"] = encoded;
     result.as_object()["encoding"] = "base64";
   }
   return text;
 }
 
-void Control::lots(const ControlRequest& request, const Target& target, ControlAnswer answer) {
+void Control::handle_lots(const ControlRequest& request, const Target& target, ControlAnswer respond) {
   const auto& parts = target.parts;
-  auto give = [answer](auto result) {
-    if (auto error = error_of(result)) return answer(faulty(*error));
-    answer(ControlReply{200, to_json(std::get<0>(result)), false});
+  auto respond_with = [respond](auto result) {
+    if (auto error = error_of(result)) return respond(error_reply(*error));
+    respond(ControlReply{200, to_json(std::get<0>(result)), false});
   };
-  if (parts.size() == 1 && request.method == "GET") return list_lots(std::move(answer));
-  if (parts.size() < 2) return answer(faulty(no_such_call(request)));
+  if (parts.size() == 1 && request.method == "GET") return list_lots(std::move(respond));
+  if (parts.size() < 2) return respond(error_reply(unknown_call(request)));
   const std::string& id = parts[1];
   if (id.empty() || id.size() > 100 ||
       id.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:") != std::string::npos)
-    return answer(faulty(Error{ErrorKind::invalid, "id",
-                               "the id has characters that are not allowed, or a length outside 1 to 100",
-                               "use letters, digits, - _ . :"}));
+    return respond(error_reply(Error{ErrorKind::invalid, "id",
+                                     "the id has characters that are not allowed, or a length outside 1 to 100",
+                                     "use letters, digits, - _ . :"}));
   if (parts.size() == 2 && request.method == "PUT") {
     if (shared_state_.draining)
-      return answer(faulty(Error{ErrorKind::refused, "lots", "this daemon is shutting down; the lot was not taken",
-                                 "hand it in again at another daemon"}));
+      return respond(
+          error_reply(Error{ErrorKind::refused, "lots", "this daemon is shutting down and did not accept the lot",
+                            "submit it again to another daemon"}));
     auto head = read_lot(request.body);
-    if (auto error = error_of(head)) return answer(faulty(*error));
-    return lots_.submit(SubmitLot{id, std::move(std::get<LotSpecification>(head))}, write_timeout, give);
+    if (auto error = error_of(head)) return respond(error_reply(*error));
+    return lots_.submit(SubmitLot{id, std::move(std::get<LotSpecification>(head))}, write_timeout, respond_with);
   }
-  if (parts.size() == 2 && request.method == "DELETE") return lots_.end(id, write_timeout, give);
+  if (parts.size() == 2 && request.method == "DELETE") return lots_.end(id, write_timeout, respond_with);
   if (parts.size() == 2 && request.method == "GET")
-    return lots_.read(ReadLot{id, 0, 0, {}}, write_timeout, [answer](Result<LotPage> result) {
-      if (auto error = error_of(result)) return answer(faulty(*error));
-      answer(ControlReply{200, to_json(std::get<LotPage>(result).lot), false});
+    return lots_.read(ReadLot{id, 0, 0, {}}, write_timeout, [respond](Result<LotPage> result) {
+      if (auto error = error_of(result)) return respond(error_reply(*error));
+      respond(ControlReply{200, to_json(std::get<LotPage>(result).lot), false});
     });
   if (parts.size() == 3 && parts[2] == "results" && request.method == "GET") {
     std::uint32_t after = 0, limit = 100;
-    for (auto [name, place] : {std::pair<const char*, std::uint32_t*>{"after", &after}, {"limit", &limit}})
+    for (auto [name, value] : {std::pair<const char*, std::uint32_t*>{"after", &after}, {"limit", &limit}})
       if (auto given = target.query.find(name); given != target.query.end()) {
-        auto number = whole_number(given->second);
+        auto number = parse_integer(given->second);
         if (!number || *number > 1000000)
-          return answer(
-              faulty(Error{ErrorKind::invalid, name, "this is not a whole number in range", "give 0 to 1000000"}));
-        *place = static_cast<std::uint32_t>(*number);
+          return respond(error_reply(
+              Error{ErrorKind::invalid, name, "this is not an integer in the allowed range", "give 0 to 1000000"}));
+        *value = static_cast<std::uint32_t>(*number);
       }
-    return lots_.read(ReadLot{id, after, limit, {}}, write_timeout, [answer](Result<LotPage> result) {
-      if (auto error = error_of(result)) return answer(faulty(*error));
-      answer(ControlReply{200, page_json(std::get<LotPage>(result)), false});
+    return lots_.read(ReadLot{id, after, limit, {}}, write_timeout, [respond](Result<LotPage> result) {
+      if (auto error = error_of(result)) return respond(error_reply(*error));
+      respond(ControlReply{200, page_json(std::get<LotPage>(result)), false});
     });
   }
-  answer(faulty(no_such_call(request)));
+  respond(error_reply(unknown_call(request)));
 }
 
-void Control::list_lots(ControlAnswer answer) {
+void Control::list_lots(ControlAnswer respond) {
   const auto configuration = shared_state_.configuration.get();
-  struct Gather {
-    std::size_t left = 0;
+  struct Collected {
+    std::size_t replies_missing = 0;
     std::map<std::string, LotStatus> lots;
-    bool whole = true;
+    bool complete = true;
   };
-  auto gather = std::make_shared<Gather>();
-  const auto& seats = configuration->roster_of("lot/").seats;
-  gather->left = seats.size();
-  if (gather->left == 0)
-    return answer(
-        faulty(Error{ErrorKind::refused, "lots", "this daemon knows of no holders yet", "try again in a second"}));
-  for (const auto& seat : seats)
-    messenger_.request(seat.address, ListLots{}, milliseconds(1000), [gather, answer](Result<LotList> result) {
+  auto collected = std::make_shared<Collected>();
+  const auto& voters = configuration->roster_of("lot/").seats;
+  collected->replies_missing = voters.size();
+  if (collected->replies_missing == 0)
+    return respond(error_reply(
+        Error{ErrorKind::refused, "lots", "this daemon does not know any storage node yet", "try again in a second"}));
+  for (const auto& voter : voters)
+    messenger_.request(voter.address, ListLots{}, milliseconds(1000), [collected, respond](Result<LotList> result) {
       if (auto* list = std::get_if<LotList>(&result))
-        for (auto& lot : list->lots) gather->lots[lot.id] = lot;
+        for (auto& lot : list->lots) collected->lots[lot.id] = lot;
       else
-        gather->whole = false;
-      if (--gather->left > 0) return;
+        collected->complete = false;
+      if (--collected->replies_missing > 0) return;
       json::array lots;
-      for (const auto& [id, lot] : gather->lots) lots.push_back(to_json(lot));
-      answer(ControlReply{200, json::object{{"whole", gather->whole}, {"lots", lots}}, false});
+      for (const auto& [id, lot] : collected->lots) lots.push_back(to_json(lot));
+      respond(ControlReply{200, json::object{{"whole", collected->complete}, {"lots", lots}}, false});
     });
 }
 
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -33,8 +33,8 @@
  public:
   // load_json returns the load of this daemon, which is the reply to /v1/load.
   Control(Messenger& messenger, SharedState& shared_state, RandomSource& random, Member self,
-          std::function<json::value()> own_load);
-  void handle(ControlRequest request, ControlAnswer answer);
+          std::function<json::value()> load_json);
+  void handle(ControlRequest request, ControlAnswer respond);
 
  private:
   // The path segments and the query parameters of a request target.
@@ -42,29 +42,29 @@
     std::vector<std::string> parts;
     std::map<std::string, std::string> query;
   };
-  static std::optional<Target> split(StringView target);
-  void resources(const ControlRequest& request, const Target& target, ControlAnswer answer);
+  static std::optional<Target> parse_target(StringView target);
+  void handle_resources(const ControlRequest& request, const Target& target, ControlAnswer respond);
   // With retry_once, an invalid document is checked a second time after a delay.
-  void put(const std::string& type, const std::string& name, const ControlRequest& request, const Target& target,
-           ControlAnswer answer, bool second_look);
-  void show(const std::string& type, const std::string& name, ControlAnswer answer);
-  void remove(const std::string& type, const std::string& name, const Target& target, ControlAnswer answer);
+  void put_resource(const std::string& type, const std::string& name, const ControlRequest& request,
+                    const Target& target, ControlAnswer respond, bool retry_once);
+  void get_resource(const std::string& type, const std::string& name, ControlAnswer respond);
+  void delete_resource(const std::string& type, const std::string& name, const Target& target, ControlAnswer respond);
   // Sends the write to the owner of the record.
-  void write(Write write, ControlAnswer answer);
+  void write(Write write, ControlAnswer respond);
   // Responds to a write once this daemon has applied it, or at the deadline.
-  void answer_when_seen(const std::string& key, Stamp stamp, TimePoint until, ControlAnswer answer);
+  void respond_when_applied(const std::string& key, Stamp stamp, TimePoint deadline, ControlAnswer respond);
   // A long poll: responds once the configuration's digest differs from the one in the query, or at the deadline.
-  void watch(const Target& target, TimePoint until, ControlAnswer answer);
-  void lots(const ControlRequest& request, const Target& target, ControlAnswer answer);
-  void list_lots(ControlAnswer answer);
-  json::value health() const;
-  json::value listing(const std::string& type) const;
+  void watch(const Target& target, TimePoint deadline, ControlAnswer respond);
+  void handle_lots(const ControlRequest& request, const Target& target, ControlAnswer respond);
+  void list_lots(ControlAnswer respond);
+  json::value health_json() const;
+  json::value list_resources(const std::string& type) const;
 
   Messenger& messenger_;
   SharedState& shared_state_;
   RandomSource& random_;
   Member self_;
-  std::function<json::value()> own_load_;
+  std::function<json::value()> load_json_;
   StoreClient client_;
   LotCalls lots_;
 };
--- a/source/control/fleet_calls.cpp
+++ b/source/control/fleet_calls.cpp
@@ -3,61 +3,61 @@
 
 namespace mothwalk {
 
-void FleetCalls::change(ConfigurationChange change, Duration limit, ReplyCallback<Version> answer) {
-  orders_.take(std::move(change), limit, std::move(answer));
+void FleetCalls::change(ConfigurationChange change, Duration timeout, ReplyCallback<Version> send_reply) {
+  orders_.apply(std::move(change), timeout, std::move(send_reply));
 }
 
-void FleetCalls::show(Duration limit, ReplyCallback<FleetConfiguration> answer) {
-  auto give = [answer](Result<ReadReply> result) {
-    if (auto error = error_of(result)) return answer(*error);
-    auto kept = configuration_of(std::get<ReadReply>(result));
-    auto* configuration = std::get_if<FleetConfiguration>(&kept);
+void FleetCalls::show(Duration timeout, ReplyCallback<FleetConfiguration> send_reply) {
+  auto on_read = [send_reply](Result<ReadReply> result) {
+    if (auto error = error_of(result)) return send_reply(*error);
+    auto decoded = configuration_of(std::get<ReadReply>(result));
+    auto* configuration = std::get_if<FleetConfiguration>(&decoded);
     if (configuration != nullptr && configuration->revision == 0)
-      return answer(
-          Error{ErrorKind::unknown_name, "configuration", "no configuration was taken yet", "give the first one"});
-    answer(std::move(kept));
+      return send_reply(
+          Error{ErrorKind::unknown_name, "configuration", "there is no configuration yet", "submit the first one"});
+    send_reply(std::move(decoded));
   };
-  client_.read(std::string(configuration_key), limit, give, true);
+  client_.read(std::string(configuration_key), timeout, on_read, true);
 }
 
-void FleetCalls::evacuate(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer) {
-  zone_orders_.take(zone, evacuated, limit, std::move(answer));
+void FleetCalls::evacuate(const ZoneId& zone, bool evacuated, Duration timeout, ReplyCallback<Success> send_reply) {
+  zone_orders_.apply(zone, evacuated, timeout, std::move(send_reply));
 }
 
-void FleetCalls::retire(const std::string& machine, Duration limit, ReplyCallback<Success> answer) {
-  const TimePoint until = messenger_.timers().now() + limit;
-  const Retirement asked{std::string(lot_roster_key), {}, machine, true};
-  auto decide = [this, machine, until, answer](Result<RetirementReply> result) {
-    if (auto error = error_of(result)) return answer(*error);
+void FleetCalls::retire(const std::string& machine, Duration timeout, ReplyCallback<Success> send_reply) {
+  const TimePoint deadline = messenger_.timers().now() + timeout;
+  const Retirement query{std::string(lot_roster_key), {}, machine, true};
+  auto on_reply = [this, machine, deadline, send_reply](Result<RetirementReply> result) {
+    if (auto error = error_of(result)) return send_reply(*error);
     const RetirementReply& reply = std::get<RetirementReply>(result);
     if (!reply.known)
-      return answer(
-          Error{ErrorKind::unknown_name, "machine", "no machine '" + machine + "' holds lots", "check the name"});
-    if (reply.retired) return answer(Success{});
+      return send_reply(Error{ErrorKind::unknown_name, "machine", "no machine named '" + machine + "' stores lots",
+                              "check the name"});
+    if (reply.retired) return send_reply(Success{});
     if (!reply.enough_remain)
-      return answer(
-          Error{ErrorKind::conflict, "machine", "too few machines that hold lots would remain", "add a machine first"});
-    mark_retired(reply.holder, until, answer);
+      return send_reply(Error{ErrorKind::conflict, "machine", "too few machines that store lots would remain",
+                              "add a machine first"});
+    mark_retired(reply.holder, deadline, send_reply);
   };
-  client_.ask_owner<Retirement>(asked.roster, asked, until, false, decide);
+  client_.ask_owner<Retirement>(query.roster, query, deadline, false, on_reply);
 }
 
-void FleetCalls::mark_retired(const Address& holder, TimePoint until, ReplyCallback<Success> answer) {
-  Write mark;
-  mark.key = "holder/" + holder.text;
-  mark.head = json::serialize(to_json(StorageNodeMark{true}));
-  client_.write(std::move(mark), until - messenger_.timers().now(), [answer](Result<WriteReply> result) {
-    if (auto error = error_of(result)) return answer(*error);
-    answer(Success{});
+void FleetCalls::mark_retired(const Address& storage_node, TimePoint deadline, ReplyCallback<Success> send_reply) {
+  Write write;
+  write.key = "holder/" + storage_node.text;
+  write.head = json::serialize(to_json(StorageNodeMark{true}));
+  client_.write(std::move(write), deadline - messenger_.timers().now(), [send_reply](Result<WriteReply> result) {
+    if (auto error = error_of(result)) return send_reply(*error);
+    send_reply(Success{});
   });
 }
 
-void FleetCalls::retired(const std::string& machine, Duration limit, ReplyCallback<bool> answer) {
-  const Retirement asked{std::string(lot_roster_key), {}, machine, false};
-  client_.ask_owner<Retirement>(asked.roster, asked, messenger_.timers().now() + limit, false,
-                                [answer](Result<RetirementReply> result) {
-                                  if (auto error = error_of(result)) return answer(*error);
-                                  answer(std::get<RetirementReply>(result).complete);
+void FleetCalls::retired(const std::string& machine, Duration timeout, ReplyCallback<bool> send_reply) {
+  const Retirement query{std::string(lot_roster_key), {}, machine, false};
+  client_.ask_owner<Retirement>(query.roster, query, messenger_.timers().now() + timeout, false,
+                                [send_reply](Result<RetirementReply> result) {
+                                  if (auto error = error_of(result)) return send_reply(*error);
+                                  send_reply(std::get<RetirementReply>(result).complete);
                                 });
 }
 
--- a/source/control/fleet_calls.hpp
+++ b/source/control/fleet_calls.hpp
@@ -16,19 +16,19 @@
         orders_(messenger, shared_state),
         zone_orders_(messenger, shared_state) {}
   // Changes the fleet configuration. See ConfigurationOrders::apply for the errors.
-  void change(ConfigurationChange change, Duration limit, ReplyCallback<Version> answer);
+  void change(ConfigurationChange change, Duration timeout, ReplyCallback<Version> send_reply);
   // Reads the current fleet configuration.
-  void show(Duration limit, ReplyCallback<FleetConfiguration> answer);
+  void show(Duration timeout, ReplyCallback<FleetConfiguration> send_reply);
   // Begins or ends the evacuation of a zone. See ZoneOrders::apply for the errors.
-  void evacuate(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer);
+  void evacuate(const ZoneId& zone, bool evacuated, Duration timeout, ReplyCallback<Success> send_reply);
   // Starts the retirement of a machine. The call is idempotent. Errors: unknown_name (no such machine) and conflict
   // (too few machines would remain), both decided by the confirmed owner of the lot roster; refused; unknown.
-  void retire(const std::string& machine, Duration limit, ReplyCallback<Success> answer);
+  void retire(const std::string& machine, Duration timeout, ReplyCallback<Success> send_reply);
   // Whether others store all that the machine stores, so that it may be removed together with its disk.
-  void retired(const std::string& machine, Duration limit, ReplyCallback<bool> answer);
+  void retired(const std::string& machine, Duration timeout, ReplyCallback<bool> send_reply);
 
  private:
-  void mark_retired(const Address& holder, TimePoint until, ReplyCallback<Success> answer);
+  void mark_retired(const Address& storage_node, TimePoint deadline, ReplyCallback<Success> send_reply);
 
   Messenger& messenger_;
   StoreClient client_;
--- a/source/control/order_history.cpp
+++ b/source/control/order_history.cpp
@@ -15,15 +15,15 @@
   }
 }
 
-OrderOutcome OrderHistory::find(const OrderIdentity& order) const {
-  if (order.number <= known_above_) return OrderOutcome::unknown;
+OrderState OrderHistory::find(const OrderIdentity& order) const {
+  if (order.number <= known_above_) return OrderState::unknown;
   auto found = by_number_.find(order.number);
-  return found != by_number_.end() && found->second == order ? OrderOutcome::taken : OrderOutcome::not_taken;
+  return found != by_number_.end() && found->second == order ? OrderState::applied : OrderState::not_applied;
 }
 
 std::vector<Bytes> OrderHistory::compacted(const std::vector<Bytes>& entries, const OrderIdentity& order) {
-  const std::size_t kept = std::min(entries.size(), least_remembered - 1);
-  std::vector<Bytes> remaining(entries.end() - static_cast<std::ptrdiff_t>(kept), entries.end());
+  const std::size_t kept_count = std::min(entries.size(), least_remembered - 1);
+  std::vector<Bytes> remaining(entries.end() - static_cast<std::ptrdiff_t>(kept_count), entries.end());
   remaining.push_back(to_cbor(order));
   return remaining;
 }
--- a/source/control/order_history.hpp
+++ b/source/control/order_history.hpp
@@ -16,7 +16,7 @@
 };
 
 // Whether an order was applied. It is unknown for an order that is older than the recorded history.
-enum class OrderOutcome { taken, not_taken, unknown };
+enum class OrderState { applied, not_applied, unknown };
 
 // The recorded orders of one configuration record.
 class OrderHistory {
@@ -31,7 +31,7 @@
   // release, which did not record identities.
   OrderHistory(const std::vector<Bytes>& entries, std::uint64_t current);
   // Looks up an order that is not based on the current revision.
-  OrderOutcome find(const OrderIdentity& order) const;
+  OrderState find(const OrderIdentity& order) const;
   // The entries to store when an order is applied while there are `most_remembered` entries: the newest of them, then
   // the new order.
   static std::vector<Bytes> compacted(const std::vector<Bytes>& entries, const OrderIdentity& order);
--- a/source/control/zone_orders.cpp
+++ b/source/control/zone_orders.cpp
@@ -5,7 +5,7 @@
 namespace mothwalk {
 
 namespace {
-Error unclear(const std::string& key, std::string message) {
+Error outcome_unknown(const std::string& key, std::string message) {
   return Error{ErrorKind::unknown, key, std::move(message), "send the same order again"};
 }
 
@@ -17,29 +17,29 @@
 }
 }  // namespace
 
-void ZoneOrders::take(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer) {
-  const TimePoint until = messenger_.timers().now() + limit;
-  read(std::make_shared<Order>(Order{"zone/" + zone.text, evacuated, until, std::move(answer)}));
+void ZoneOrders::apply(const ZoneId& zone, bool evacuated, Duration timeout, ReplyCallback<Success> send_reply) {
+  const TimePoint deadline = messenger_.timers().now() + timeout;
+  read(std::make_shared<Order>(Order{"zone/" + zone.text, evacuated, deadline, std::move(send_reply)}));
 }
 
 void ZoneOrders::read(const OrderPointer& order) {
   client_.read(
-      order->key, order->until - messenger_.timers().now(),
+      order->key, order->deadline - messenger_.timers().now(),
       [this, order](Result<ReadReply> result) {
         auto error = error_of(result);
         if (error == nullptr) return decide(order, std::get<ReadReply>(result));
         const bool nothing_sent = !order->version;
-        order->answer(nothing_sent ? *error : unclear(order->key, error->message));
+        order->send_reply(nothing_sent ? *error : outcome_unknown(order->key, error->message));
       },
       true);
 }
 
 void ZoneOrders::decide(const OrderPointer& order, const ReadReply& reply) {
-  if (evacuated_in(reply) == order->evacuated) return order->answer(Success{});
+  if (evacuated_in(reply) == order->evacuated) return order->send_reply(Success{});
   const bool exists = reply.found && !reply.record.removed;
   const std::uint64_t version = exists ? reply.record.stamp.version.value : 0;
   if (order->version && *order->version != version)
-    return order->answer(unclear(order->key, "another order changed the zone meanwhile"));
+    return order->send_reply(outcome_unknown(order->key, "another order changed the zone in the meantime"));
   order->version = version;
   write(order);
 }
@@ -49,13 +49,14 @@
   change.key = order->key;
   change.head = json::serialize(to_json(Zone{order->evacuated}));
   change.expected = order->version;
-  client_.write(std::move(change), order->until - messenger_.timers().now(), [this, order](Result<WriteReply> result) {
-    auto error = error_of(result);
-    if (error == nullptr) return order->answer(Success{});
-    const bool unsure = error->kind == ErrorKind::stale || error->kind == ErrorKind::unknown;
-    if (unsure && messenger_.timers().now() < order->until) return read(order);
-    order->answer(unsure ? unclear(order->key, error->message) : *error);
-  });
+  client_.write(std::move(change), order->deadline - messenger_.timers().now(),
+                [this, order](Result<WriteReply> result) {
+                  auto error = error_of(result);
+                  if (error == nullptr) return order->send_reply(Success{});
+                  const bool maybe_written = error->kind == ErrorKind::stale || error->kind == ErrorKind::unknown;
+                  if (maybe_written && messenger_.timers().now() < order->deadline) return read(order);
+                  order->send_reply(maybe_written ? outcome_unknown(order->key, error->message) : *error);
+                });
 }
 
 }  // namespace mothwalk
--- a/source/control/zone_orders.hpp
+++ b/source/control/zone_orders.hpp
@@ -15,14 +15,14 @@
   // that was read first, so an order that is still in progress can't undo what another order has changed meanwhile.
   // Errors: refused (nothing was changed); unknown (the zone was changed meanwhile, or the timeout has expired; the
   // same order should be sent again).
-  void take(const ZoneId& zone, bool evacuated, Duration limit, ReplyCallback<Success> answer);
+  void apply(const ZoneId& zone, bool evacuated, Duration timeout, ReplyCallback<Success> send_reply);
 
  private:
   struct Order {
     std::string key;
     bool evacuated = false;
-    TimePoint until;
-    ReplyCallback<Success> answer;
+    TimePoint deadline;
+    ReplyCallback<Success> send_reply;
     std::optional<std::uint64_t> version = {};  // The version of the zone's record at the first read.
   };
   using OrderPointer = std::shared_ptr<Order>;
--- a/source/gossip/configuration_gossip.cpp
+++ b/source/gossip/configuration_gossip.cpp
@@ -16,50 +16,50 @@
                                          bool control, const ConfigurationFormat* format)
     : messenger_(messenger), shared_state_(shared_state), random_(random), control_(control), format_(format) {
   messenger_.on_message<PushUpdates>(
-      [this](const Address&, PushUpdates spread) { take(std::move(spread.items), true); });
-  messenger_.on_request<Compare>([this](const Address&, Compare compare, ReplyCallback<CompareReply> answer) {
+      [this](const Address&, PushUpdates pushed) { apply(std::move(pushed.items), true); });
+  messenger_.on_request<Compare>([this](const Address&, Compare compare, ReplyCallback<CompareReply> send_reply) {
     CompareReply reply{compare.digest == view_.digest, majority_lease(), {}};
     if (!reply.same)
       for (const auto& [key, item] : items_) reply.listing.push_back(KeyStamp{key, item.stamp});
-    answer(std::move(reply));
+    send_reply(std::move(reply));
   });
   messenger_.on_request<FetchUpdates>(
-      [this](const Address&, FetchUpdates fetch, ReplyCallback<FetchUpdatesReply> answer) {
+      [this](const Address&, FetchUpdates fetch, ReplyCallback<FetchUpdatesReply> send_reply) {
         FetchUpdatesReply reply;
         for (const auto& key : fetch.keys)
           if (auto found = items_.find(key); found != items_.end()) reply.items.push_back(found->second);
-        answer(std::move(reply));
+        send_reply(std::move(reply));
       });
-  messenger_.on_request<Taken>([this](const Address&, Taken taken, ReplyCallback<TakenReply> answer) {
-    auto found = items_.find(taken.key);
-    if (found == items_.end()) return answer(TakenReply{});
-    answer(TakenReply{true, found->second.removed, found->second.stamp});
+  messenger_.on_request<Taken>([this](const Address&, Taken query, ReplyCallback<AppliedStampReply> send_reply) {
+    auto found = items_.find(query.key);
+    if (found == items_.end()) return send_reply(AppliedStampReply{});
+    send_reply(AppliedStampReply{true, found->second.removed, found->second.stamp});
   });
 }
 
 void ConfigurationGossip::start() {
-  tick();
+  run_round();
 }
 
 // Applies the updates that are newer than the stored ones. Returns whether there were any.
-bool ConfigurationGossip::take(std::vector<ConfigurationUpdate> items, bool spread) {
-  std::vector<ConfigurationUpdate> fresh;
+bool ConfigurationGossip::apply(std::vector<ConfigurationUpdate> items, bool push) {
+  std::vector<ConfigurationUpdate> applied;
   for (auto& item : items) {
     auto found = items_.find(item.key);
     if (found != items_.end() && item.stamp <= found->second.stamp) continue;
     if (found != items_.end()) view_.digest ^= item_hash(found->second);
     view_.digest ^= item_hash(item);
     put_in_view(view_, item.key, item.removed ? nullptr : &item.value, item.stamp, format_);
-    fresh.push_back(item);
+    applied.push_back(item);
     items_[item.key] = std::move(item);
   }
-  if (fresh.empty()) return false;
+  if (applied.empty()) return false;
   shared_state_.configuration.set(view_);
-  if (spread) pass_on(fresh);
+  if (push) push_to_peers(applied);
   return true;
 }
 
-void ConfigurationGossip::pass_on(const std::vector<ConfigurationUpdate>& items) {
+void ConfigurationGossip::push_to_peers(const std::vector<ConfigurationUpdate>& items) {
   const auto members = shared_state_.members.get();
   std::vector<Address> others;
   for (const auto& [address, member] : members->all)
@@ -76,20 +76,20 @@
 Duration ConfigurationGossip::majority_lease() const {
   if (!control_ || view_.roster.seats.empty()) return Duration{};
   const TimePoint now = messenger_.timers().now();
-  std::vector<Duration> left;
-  for (const auto& seat : view_.roster.seats) {
-    if (seat.address == messenger_.self())
-      left.push_back(lease_span);
-    else if (auto found = compared_.find(seat.address); found != compared_.end())
-      left.push_back(found->second + lease_span - now);
+  std::vector<Duration> remaining;
+  for (const auto& voter : view_.roster.seats) {
+    if (voter.address == messenger_.self())
+      remaining.push_back(lease_duration);
+    else if (auto found = compared_.find(voter.address); found != compared_.end())
+      remaining.push_back(found->second + lease_duration - now);
   }
-  std::sort(left.rbegin(), left.rend());
+  std::sort(remaining.rbegin(), remaining.rend());
   const std::size_t majority = view_.roster.majority();
-  if (left.size() < majority || left[majority - 1] <= Duration{}) return Duration{};
-  return left[majority - 1];
+  if (remaining.size() < majority || remaining[majority - 1] <= Duration{}) return Duration{};
+  return remaining[majority - 1];
 }
 
-void ConfigurationGossip::tick() {
+void ConfigurationGossip::run_round() {
   const auto members = shared_state_.members.get();
   const TimePoint now = messenger_.timers().now();
   if (control_) {
@@ -101,31 +101,31 @@
     compare(members->session_server);
     renew_lease();
   }
-  note_search();
-  messenger_.timers().after(round_span, [this] { tick(); });
+  track_lease_search();
+  messenger_.timers().after(round_interval, [this] { run_round(); });
 }
 
 // The session server renews the lease in each round. If it has not done so in time, the next few other candidates are
 // asked, and further ones in each following round, so that all of them have been asked well before this daemon counts
 // as isolated.
 void ConfigurationGossip::renew_lease() {
-  const Duration left = TimePoint{shared_state_.lease_until.load()} - messenger_.timers().now();
-  if (left > renewal_margin) return void(search_turn_ = 0);
+  const Duration remaining = TimePoint{shared_state_.lease_until.load()} - messenger_.timers().now();
+  if (remaining > renewal_margin) return void(next_candidate_ = 0);
   auto candidates = control_candidates(shared_state_, messenger_.self(), ZoneId{});
   for (const auto snapshot = shared_state_.seeds.get(); const auto& seed : *snapshot)
     add_candidate(candidates, seed, messenger_.self());
   for (std::size_t count = 0; count < std::min(search_width, candidates.size()); ++count)
-    compare(candidates[search_turn_++ % candidates.size()]);
+    compare(candidates[next_candidate_++ % candidates.size()]);
 }
 
 // Records since when this daemon has been without a lease. A gap between two rounds means that the process was
 // suspended; the time without a lease is then counted from now.
-void ConfigurationGossip::note_search() {
+void ConfigurationGossip::track_lease_search() {
   const TimePoint now = messenger_.timers().now();
-  const bool frozen = now.microseconds - shared_state_.gossip_tick.load() > 3 * round_span.count();
+  const bool suspended = now.microseconds - shared_state_.gossip_tick.load() > 3 * round_interval.count();
   if (shared_state_.has_lease(now))
     shared_state_.lease_sought_since = -1;
-  else if (shared_state_.lease_sought_since.load() < 0 || frozen)
+  else if (shared_state_.lease_sought_since.load() < 0 || suspended)
     shared_state_.lease_sought_since = now.microseconds;
   shared_state_.gossip_tick = now.microseconds;
 }
@@ -134,41 +134,41 @@
 void ConfigurationGossip::compare(const Address& peer) {
   if (!comparing_.insert(peer).second) return;
   const TimePoint began = messenger_.timers().now();
-  messenger_.request(peer, Compare{view_.digest}, std::chrono::milliseconds(500),
-                     [this, peer, began](Result<CompareReply> result) {
-                       auto* reply = std::get_if<CompareReply>(&result);
-                       if (reply == nullptr) return void(comparing_.erase(peer));
-                       if (reply->same) return finish(peer, began, reply->lease);
-                       FetchUpdates wanted;
-                       PushUpdates owed;
-                       std::map<std::string, Stamp> theirs;
-                       for (const auto& each : reply->listing) {
-                         theirs[each.key] = each.stamp;
-                         auto found = items_.find(each.key);
-                         if (found == items_.end() || found->second.stamp < each.stamp) wanted.keys.push_back(each.key);
-                       }
-                       for (const auto& [key, item] : items_)
-                         if (auto found = theirs.find(key); found == theirs.end() || found->second < item.stamp)
-                           owed.items.push_back(item);
-                       if (!owed.items.empty()) messenger_.send(peer, owed);
-                       if (wanted.keys.empty()) return finish(peer, began, reply->lease);
-                       messenger_.request(peer, wanted, std::chrono::milliseconds(500),
-                                          [this, peer, began, lease = reply->lease](Result<FetchUpdatesReply> fetched) {
-                                            auto* items = std::get_if<FetchUpdatesReply>(&fetched);
-                                            if (items == nullptr) return void(comparing_.erase(peer));
-                                            take(std::move(items->items), false);
-                                            finish(peer, began, lease);
-                                          });
-                     });
+  messenger_.request(
+      peer, Compare{view_.digest}, std::chrono::milliseconds(500), [this, peer, began](Result<CompareReply> result) {
+        auto* reply = std::get_if<CompareReply>(&result);
+        if (reply == nullptr) return void(comparing_.erase(peer));
+        if (reply->same) return finish_comparison(peer, began, reply->lease);
+        FetchUpdates newer_at_peer;
+        PushUpdates newer_here;
+        std::map<std::string, Stamp> peer_stamps;
+        for (const auto& each : reply->listing) {
+          peer_stamps[each.key] = each.stamp;
+          auto found = items_.find(each.key);
+          if (found == items_.end() || found->second.stamp < each.stamp) newer_at_peer.keys.push_back(each.key);
+        }
+        for (const auto& [key, item] : items_)
+          if (auto found = peer_stamps.find(key); found == peer_stamps.end() || found->second < item.stamp)
+            newer_here.items.push_back(item);
+        if (!newer_here.items.empty()) messenger_.send(peer, newer_here);
+        if (newer_at_peer.keys.empty()) return finish_comparison(peer, began, reply->lease);
+        messenger_.request(peer, newer_at_peer, std::chrono::milliseconds(500),
+                           [this, peer, began, lease = reply->lease](Result<FetchUpdatesReply> fetched) {
+                             auto* items = std::get_if<FetchUpdatesReply>(&fetched);
+                             if (items == nullptr) return void(comparing_.erase(peer));
+                             apply(std::move(items->items), false);
+                             finish_comparison(peer, began, lease);
+                           });
+      });
 }
 
 // Both copies are equal now as far as the peer's reply tells, so a lease that it granted takes effect. The lease counts
 // from the time when the comparison began, and is never longer than the regular one.
-void ConfigurationGossip::finish(const Address& peer, TimePoint began, Duration lease) {
+void ConfigurationGossip::finish_comparison(const Address& peer, TimePoint began, Duration lease) {
   comparing_.erase(peer);
   compared_[peer] = began;
   if (control_ || lease <= Duration{}) return;
-  const std::int64_t until = (began + std::min(lease, lease_span)).microseconds;
+  const std::int64_t until = (began + std::min(lease, lease_duration)).microseconds;
   if (until > shared_state_.lease_until.load()) shared_state_.lease_until = until;
 }
 
--- a/source/gossip/configuration_gossip.hpp
+++ b/source/gossip/configuration_gossip.hpp
@@ -54,7 +54,7 @@
   std::vector<std::string> keys;
   MOTHWALK_FIELDS(keys)
 };
-struct TakenReply {
+struct AppliedStampReply {
   bool found = false, removed = false;
   Stamp stamp;
   MOTHWALK_FIELDS(found, removed, stamp)
@@ -62,7 +62,7 @@
 // Asks for the stamp up to which the receiver has applied the updates of one key.
 struct Taken {
   static constexpr StringView kind = "news.taken";
-  using Reply = TakenReply;
+  using Reply = AppliedStampReply;
   std::string key;
   MOTHWALK_FIELDS(key)
 };
@@ -77,20 +77,20 @@
   void start();
 
  private:
-  static constexpr Duration round_span = std::chrono::milliseconds(200);
-  static constexpr Duration lease_span = std::chrono::milliseconds(800);
+  static constexpr Duration round_interval = std::chrono::milliseconds(200);
+  static constexpr Duration lease_duration = std::chrono::milliseconds(800);
   // A lease is renewed elsewhere when no more than this is left of it.
   static constexpr Duration renewal_margin = std::chrono::milliseconds(300);
   static constexpr std::size_t fan_out = 3;       // The number of daemons that an update is pushed to.
   static constexpr std::size_t search_width = 3;  // The number of control daemons asked for a lease in one round.
-  void tick();
+  void run_round();
   void renew_lease();
-  void note_search();
+  void track_lease_search();
   void compare(const Address& peer);
-  void finish(const Address& peer, TimePoint began, Duration lease);
+  void finish_comparison(const Address& peer, TimePoint began, Duration lease);
   // With push, the applied updates are also pushed to other daemons.
-  bool take(std::vector<ConfigurationUpdate> items, bool spread);
-  void pass_on(const std::vector<ConfigurationUpdate>& items);
+  bool apply(std::vector<ConfigurationUpdate> items, bool push);
+  void push_to_peers(const std::vector<ConfigurationUpdate>& items);
   Duration majority_lease() const;
 
   Messenger& messenger_;
@@ -102,7 +102,7 @@
   ConfigurationView view_;
   std::map<Address, TimePoint> compared_;  // The start of the last completed comparison with each control daemon.
   std::set<Address> comparing_;            // The peers with a comparison in progress.
-  std::size_t search_turn_ = 0;            // The position in the list of candidates for a lease.
+  std::size_t next_candidate_ = 0;         // The position in the list of candidates for a lease.
 };
 
 }  // namespace mothwalk
--- a/tests/replay_test.cpp
+++ b/tests/replay_test.cpp
@@ -6,7 +6,7 @@
 using namespace mothwalk;
 using namespace mothwalk::simulate;
 
-TEST_CASE("the same scenario and seed give the same run, another seed another one") {
+TEST_CASE("the same scenario and seed give the same run, and another seed gives a different run") {
   Scenario scenario = *find_scenario("mixed");
   scenario.load = std::chrono::seconds(8);
   scenario.settle = std::chrono::seconds(4);
