--- a/source/listing/listing.cpp
+++ b/source/listing/listing.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Duration page_span = milliseconds(600);
-constexpr std::size_t most_pages = 200;  // Stops the read of a list whose page cursors form a loop.
-constexpr std::size_t longest_page = 4u << 20;
+constexpr Duration page_timeout = milliseconds(600);
+constexpr std::size_t max_pages = 200;  // Stops the read of a list whose page cursors form a loop.
+constexpr std::size_t max_page_bytes = 4u << 20;
 
 // Whether the list is unchanged. The remaining cold time decreases steadily, so a decrease does not count as a change;
 // only its beginning, its end and an increase do.
-bool same_listing(const RunnerListing& told, const RunnerListing& now) {
-  if (told.runners.size() != now.runners.size()) return false;
-  for (const auto& [name, runner] : now.runners) {
-    auto found = told.runners.find(name);
-    if (found == told.runners.end()) return false;
+bool same_listing(const RunnerListing& published, const RunnerListing& current) {
+  if (published.runners.size() != current.runners.size()) return false;
+  for (const auto& [name, runner] : current.runners) {
+    auto found = published.runners.find(name);
+    if (found == published.runners.end()) return false;
     const Runner& before = found->second;
     if (before.address != runner.address || before.kind != runner.kind || before.zone != runner.zone ||
         before.slots != runner.slots || before.leaving != runner.leaving)
@@ -28,44 +28,49 @@
 }
 }  // namespace
 
-class RunnerList::Watcher : public AttemptObserver {
+class RunnerList::PageReceiver : public AttemptObserver {
  public:
-  explicit Watcher(std::function<void(std::optional<ListBody>)> then) : then_(std::move(then)) {}
+  explicit PageReceiver(std::function<void(std::optional<ListBody>)> on_result) : on_result_(std::move(on_result)) {}
   void on_head(int status, const std::vector<Header>&) override { body_.status = status; }
   // A page above the size limit counts as failed: its status is set to 0.
-  void on_chunk(StringView piece) override {
-    if (body_.body.size() + piece.size() <= longest_page)
-      body_.body.append(piece);
+  void on_chunk(StringView chunk) override {
+    if (body_.body.size() + chunk.size() <= max_page_bytes)
+      body_.body.append(chunk);
     else
       body_.status = 0;
   }
-  void on_end(AttemptOutcome end) override {
-    end == AttemptOutcome::whole ? then_(std::move(body_)) : then_(std::nullopt);
+  void on_end(AttemptOutcome outcome) override {
+    outcome == AttemptOutcome::whole ? on_result_(std::move(body_)) : on_result_(std::nullopt);
   }
 
  private:
-  std::function<void(std::optional<ListBody>)> then_;
+  std::function<void(std::optional<ListBody>)> on_result_;
   ListBody body_;
 };
 
-RunnerList::RunnerList(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
-                       ListSource& source)
-    : messenger_(messenger), shared_state_(shared_state), runner_client_(exchange), random_(random), source_(source) {
-  messenger_.on_request<FetchListPage>([this](const Address&, FetchListPage page, ReplyCallback<ListBody> answer) {
-    fetch(page.target, [answer](std::optional<ListBody> body) {
+RunnerList::RunnerList(Messenger& messenger, SharedState& shared_state, RunnerClient& runner_client,
+                       RandomSource& random, ListSource& source)
+    : messenger_(messenger),
+      shared_state_(shared_state),
+      runner_client_(runner_client),
+      random_(random),
+      source_(source) {
+  messenger_.on_request<FetchListPage>([this](const Address&, FetchListPage page, ReplyCallback<ListBody> send_reply) {
+    fetch(page.target, [send_reply](std::optional<ListBody> body) {
       if (body)
-        answer(std::move(*body));
+        send_reply(std::move(*body));
       else
-        answer(Error{ErrorKind::lost, "list", "the list can't be read from here either", "ask another daemon"});
+        send_reply(
+            Error{ErrorKind::lost, "list", "this daemon can't reach the runner list either", "ask another daemon"});
     });
   });
 }
 
 void RunnerList::start() {
-  tick();
+  run_round();
 }
 
-void RunnerList::tick() {
+void RunnerList::run_round() {
   const auto owned = shared_state_.owned.get();
   auto slot = owned->slots.find(slot_of(listing_key));
   const Epoch epoch = slot == owned->slots.end() ? Epoch{} : slot->second;
@@ -73,76 +78,78 @@
     epoch_ = epoch;
     version_ = 0;
     failures_ = 0;
-    told_.reset();
+    published_.reset();
   }
   if (epoch_.value > 0 && !reading_) {
     reading_ = true;
     pages_ = 0;
-    gathered_ = RunnerListing{};
-    read(std::nullopt);
+    collected_ = RunnerListing{};
+    read_page(std::nullopt);
   }
-  messenger_.timers().after(epoch_.value > 0 ? source_.period() : Duration(milliseconds(200)), [this] { tick(); });
+  messenger_.timers().after(epoch_.value > 0 ? source_.period() : Duration(milliseconds(200)), [this] { run_round(); });
 }
 
-void RunnerList::fetch(const std::string& target, std::function<void(std::optional<ListBody>)> then) {
+void RunnerList::fetch(const std::string& target, std::function<void(std::optional<ListBody>)> on_result) {
   AttemptRequest request;
   request.to = source_.address();
   request.method = "GET";
   request.target = target;
   request.headers = {{"Host", source_.address().text}};
   request.body = std::make_shared<const Bytes>();
-  request.connecting = request.first_piece = request.between_pieces = page_span;
+  request.connecting = request.first_piece = request.between_pieces = page_timeout;
   ++reads_;
-  runner_client_.start(request, std::make_shared<Watcher>(std::move(then)));
+  runner_client_.start(request, std::make_shared<PageReceiver>(std::move(on_result)));
 }
 
-void RunnerList::read(std::optional<std::string> next) {
+void RunnerList::read_page(std::optional<std::string> next) {
   const std::string target = source_.target(next);
   const auto members = shared_state_.members.get();
   std::vector<Address> others;
   // After two failures on the direct way, other daemons fetch the pages. Every eighth read goes the direct way again,
   // to find out whether that works.
-  through_others_ = failures_ >= 2 && reads_ % 8 != 0;
-  if (through_others_)
+  through_other_daemon_ = failures_ >= 2 && reads_ % 8 != 0;
+  if (through_other_daemon_)
     for (const auto& [address, member] : members->all)
       if (address != messenger_.self()) others.push_back(address);
-  if (others.empty()) through_others_ = false;
-  if (!through_others_) return fetch(target, [this](std::optional<ListBody> body) { take_page(std::move(body)); });
+  if (others.empty()) through_other_daemon_ = false;
+  if (!through_other_daemon_)
+    return fetch(target, [this](std::optional<ListBody> body) { handle_page(std::move(body)); });
   ++reads_;
-  messenger_.request(others[random_.below(others.size())], FetchListPage{target}, page_span + milliseconds(200),
+  messenger_.request(others[random_.below(others.size())], FetchListPage{target}, page_timeout + milliseconds(200),
                      [this](Result<ListBody> result) {
                        if (auto* body = std::get_if<ListBody>(&result))
-                         take_page(std::move(*body));
+                         handle_page(std::move(*body));
                        else
-                         failed();
+                         handle_failure();
                      });
 }
 
-void RunnerList::failed() {
+void RunnerList::handle_failure() {
   ++failures_;
   reading_ = false;
 }
 
-void RunnerList::take_page(std::optional<ListBody> body) {
-  if (!body || body->status != 200) return failed();
+void RunnerList::handle_page(std::optional<ListBody> body) {
+  if (!body || body->status != 200) return handle_failure();
   auto page = source_.read(body->body);
-  if (error_of(page) || ++pages_ > most_pages) return failed();
-  auto& read_page = std::get<ListPage>(page);
-  gathered_.runners.merge(read_page.runners);
-  if (read_page.next) return read(std::move(read_page.next));
+  if (error_of(page) || ++pages_ > max_pages) return handle_failure();
+  auto& parsed = std::get<ListPage>(page);
+  collected_.runners.merge(parsed.runners);
+  if (parsed.next) return read_page(std::move(parsed.next));
   reading_ = false;
-  if (!through_others_) failures_ = 0;
-  tell();
+  if (!through_other_daemon_) failures_ = 0;
+  publish();
 }
 
-void RunnerList::tell() {
+void RunnerList::publish() {
   const auto owned = shared_state_.owned.get();
   auto slot = owned->slots.find(slot_of(listing_key));
-  if (slot == owned->slots.end() || slot->second != epoch_ || (told_ && same_listing(*told_, gathered_))) return;
-  told_ = gathered_;
+  if (slot == owned->slots.end() || slot->second != epoch_ || (published_ && same_listing(*published_, collected_)))
+    return;
+  published_ = collected_;
   messenger_.send(messenger_.self(),
                   PushUpdates{{ConfigurationUpdate{std::string(listing_key), Stamp{epoch_, Version{++version_}}, false,
-                                                   to_cbor(gathered_)}}});
+                                                   to_cbor(collected_)}}});
 }
 
 }  // namespace mothwalk
--- a/source/listing/listing.hpp
+++ b/source/listing/listing.hpp
@@ -39,18 +39,18 @@
 // Runs in every daemon that may own the listing's slot, and reads the list while this daemon owns it.
 class RunnerList {
  public:
-  RunnerList(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
+  RunnerList(Messenger& messenger, SharedState& shared_state, RunnerClient& runner_client, RandomSource& random,
              ListSource& source);
   void start();
 
  private:
-  class Watcher;
-  void tick();
-  void read(std::optional<std::string> next);
-  void fetch(const std::string& target, std::function<void(std::optional<ListBody>)> then);
-  void take_page(std::optional<ListBody> body);
-  void failed();
-  void tell();
+  class PageReceiver;
+  void run_round();
+  void read_page(std::optional<std::string> next);
+  void fetch(const std::string& target, std::function<void(std::optional<ListBody>)> on_result);
+  void handle_page(std::optional<ListBody> body);
+  void handle_failure();
+  void publish();
 
   Messenger& messenger_;
   SharedState& shared_state_;
@@ -61,9 +61,9 @@
   std::uint64_t version_ = 0, reads_ = 0;
   std::uint32_t failures_ = 0;  // Consecutive reads that failed on the direct way to the list.
   std::size_t pages_ = 0;
-  bool reading_ = false, through_others_ = false;
-  RunnerListing gathered_;             // The runners of the pages read so far in this round.
-  std::optional<RunnerListing> told_;  // The list published last under this epoch.
+  bool reading_ = false, through_other_daemon_ = false;
+  RunnerListing collected_;                 // The runners of the pages read so far in this round.
+  std::optional<RunnerListing> published_;  // The list published last under this epoch.
 };
 
 }  // namespace mothwalk
