--- a/source/operator/main.cpp
+++ b/source/operator/main.cpp
@@ -20,34 +20,34 @@
 
 constexpr const char* help = R"(mothwalk-operator [--control IP:PORT[,IP:PORT...]] [--json] COMMAND
 
-  get TYPE [NAME]        resources of a type, or one with who has taken it
-  apply FILE             documents {"type","name","spec"[,"version"]}, one or a list; "-" reads standard input
-  delete TYPE NAME
-  watch [COUNT]          prints changes as they come; ends after COUNT of them
-  evacuate ZONE          no work to the zone's runners; "restore ZONE" takes it back
-  restore ZONE
-  retire ADDRESS         takes the holder's seat away; "reinstate ADDRESS" takes it back
-  reinstate ADDRESS
-  lots [ID]              kept lots, or one
+  get TYPE [NAME]        lists the resources of a type, or shows one and how many daemons have applied it
+  apply FILE             applies documents {"type","name","spec"[,"version"]}, one or a list; "-" reads standard input
+  delete TYPE NAME       deletes a resource
+  watch [COUNT]          prints changes as they occur; ends after COUNT of them
+  evacuate ZONE          stops sending work to the zone's runners
+  restore ZONE           ends the evacuation
+  retire ADDRESS         takes a storage node's vote away and moves its records to others
+  reinstate ADDRESS      ends the retirement
+  lots [ID]              lists the stored lots, or shows one
   cancel ID              cancels a lot
-  circle [KIND]          who takes live prompts, and why
-  health              every daemon's state
-  aims                   service-level aims against what was counted; exit code 1 if one is not met
-  members                who is there
-  check FILE             checks documents with the daemon's own code, without changing anything
+  circle [KIND]          shows which runners take live requests, and why
+  health                 shows the state of each daemon
+  aims                   compares service-level aims with the counted requests; exit code 1 if one is not met
+  members                lists the daemons
+  check FILE             validates documents with the daemons' own code, without changing anything
   plan FILE              shows what applying the documents would change
 
-Types: lane, kind, runner, zone, lots, holder, circle. The control addresses may also stand in MOTHWALK_CONTROL.
-Exit codes: 0 done, 1 refused or not found, 2 wrong use, 3 no daemon answered, 4 the outcome is not known.
+Types: lane, kind, runner, zone, lots, holder, circle. The control addresses may also be set in MOTHWALK_CONTROL.
+Exit codes: 0 success, 1 refused or not found, 2 wrong usage, 3 no daemon replied, 4 the outcome is not known.
 )";
 
 // Sends calls to the daemons and prints results.
-struct Tool {
-  std::vector<Address> controls;
+struct OperatorClient {
+  std::vector<Address> control_addresses;
   bool as_json = false;
 
   // Prints the error and returns the exit code for it.
-  int say(const Error& error) const {
+  int report_error(const Error& error) const {
     if (as_json)
       std::cerr << json::serialize(error_to_json(error)) << "\n";
     else
@@ -61,24 +61,24 @@
 
   // Calls the first daemon that replies. A call that may have taken effect is not sent to a second daemon.
   Result<json::value> call(StringView method, const std::string& target, StringView body = "") const {
-    Error last{ErrorKind::lost, "control", "no control address is given",
-               "name one with --control or MOTHWALK_CONTROL"};
-    for (const auto& control : controls) {
-      auto answer = http_call(control, method, target, body, std::chrono::seconds(25));
+    Error last_error{ErrorKind::lost, "control", "no control address is given",
+                     "name one with --control or MOTHWALK_CONTROL"};
+    for (const auto& address : control_addresses) {
+      auto answer = http_call(address, method, target, body, std::chrono::seconds(25));
       if (auto error = error_of(answer)) {
-        last = *error;
-        if (error->kind != ErrorKind::lost && method != "GET") return last;
+        last_error = *error;
+        if (error->kind != ErrorKind::lost && method != "GET") return last_error;
         continue;
       }
-      const HttpAnswer& given = std::get<HttpAnswer>(answer);
-      auto parsed = parse_json(given.body);
+      const HttpAnswer& response = std::get<HttpAnswer>(answer);
+      auto parsed = parse_json(response.body);
       if (auto error = error_of(parsed)) return *error;
       json::value value = std::get<json::value>(parsed);
-      if (given.status == 200) return value;
-      Error error{given.status == 404   ? ErrorKind::unknown_name
-                  : given.status == 504 ? ErrorKind::unknown
-                                        : ErrorKind::refused,
-                  "", "the daemon answered " + std::to_string(given.status), "see its logs"};
+      if (response.status == 200) return value;
+      Error error{response.status == 404   ? ErrorKind::unknown_name
+                  : response.status == 504 ? ErrorKind::unknown
+                                           : ErrorKind::refused,
+                  "", "the daemon replied with HTTP status " + std::to_string(response.status), "see the daemon's log"};
       if (value.is_object() && value.as_object().contains("message")) {
         error.field = std::string(value.at("field").as_string());
         error.message = std::string(value.at("message").as_string());
@@ -86,10 +86,10 @@
       }
       return error;
     }
-    return last;
+    return last_error;
   }
 
-  void table(const std::vector<std::vector<std::string>>& rows) const {
+  void print_table(const std::vector<std::vector<std::string>>& rows) const {
     std::vector<std::size_t> widths;
     for (const auto& row : rows)
       for (std::size_t column = 0; column < row.size(); ++column) {
@@ -106,67 +106,68 @@
   }
 };
 
-std::string plain(const json::value& value) {
+std::string to_text(const json::value& value) {
   return value.is_string() ? std::string(value.as_string()) : json::serialize(value);
 }
 
 // Prints the given fields of a list of objects as a table, or the complete reply as JSON.
-int show_list(const Tool& tool, const json::value& whole, const json::array& list,
+int show_list(const OperatorClient& client, const json::value& reply, const json::array& list,
               const std::vector<std::string>& fields) {
-  if (tool.as_json) return std::cout << json::serialize(whole) << "\n", 0;
+  if (client.as_json) return std::cout << json::serialize(reply) << "\n", 0;
   std::vector<std::vector<std::string>> rows{fields};
   for (const auto& each : list) {
     std::vector<std::string> row;
-    for (const auto& field : fields) row.push_back(each.as_object().contains(field) ? plain(each.at(field)) : "");
+    for (const auto& field : fields) row.push_back(each.as_object().contains(field) ? to_text(each.at(field)) : "");
     rows.push_back(row);
   }
-  tool.table(rows);
+  client.print_table(rows);
   return 0;
 }
 
-int get(const Tool& tool, const std::string& type, const std::string& name) {
-  auto answer = tool.call("GET", "/v1/resources/" + type + (name.empty() ? "" : "/" + name));
-  if (auto error = error_of(answer)) return tool.say(*error);
+int get(const OperatorClient& client, const std::string& type, const std::string& name) {
+  auto answer = client.call("GET", "/v1/resources/" + type + (name.empty() ? "" : "/" + name));
+  if (auto error = error_of(answer)) return client.report_error(*error);
   const json::value& value = std::get<json::value>(answer);
   if (name.empty())
-    return show_list(tool, value, value.at("resources").as_array(), {"type", "name", "version", "spec"});
-  if (tool.as_json) return std::cout << json::serialize(value) << "\n", 0;
-  tool.table({{"type", plain(value.at("type"))},
-              {"name", plain(value.at("name"))},
-              {"version", plain(value.at("version"))},
-              {"spec", plain(value.at("spec"))},
-              {"taken", plain(value.at("status").at("taken")) + " of " + plain(value.at("status").at("members"))},
-              {"waiting", plain(value.at("status").at("waiting"))}});
+    return show_list(client, value, value.at("resources").as_array(), {"type", "name", "version", "spec"});
+  if (client.as_json) return std::cout << json::serialize(value) << "\n", 0;
+  client.print_table(
+      {{"type", to_text(value.at("type"))},
+       {"name", to_text(value.at("name"))},
+       {"version", to_text(value.at("version"))},
+       {"spec", to_text(value.at("spec"))},
+       {"taken", to_text(value.at("status").at("taken")) + " of " + to_text(value.at("status").at("members"))},
+       {"waiting", to_text(value.at("status").at("waiting"))}});
   return 0;
 }
 
 // Writes a resource. Without a version, the current one is read first, and nothing is written if the spec is the same.
-int put(const Tool& tool, const std::string& type, const std::string& name, const json::value& spec,
+int put(const OperatorClient& client, const std::string& type, const std::string& name, const json::value& spec,
         std::optional<std::uint64_t> version) {
   const std::string path = "/v1/resources/" + type + "/" + name;
   if (!version) {
-    auto current = tool.call("GET", path);
+    auto current = client.call("GET", path);
     if (auto error = error_of(current)) {
-      if (error->kind != ErrorKind::unknown_name || error->field != "name") return tool.say(*error);
+      if (error->kind != ErrorKind::unknown_name || error->field != "name") return client.report_error(*error);
       version = 0;
     } else {
       const json::value& value = std::get<json::value>(current);
       version = value.at("version").to_number<std::uint64_t>();
       if (value.at("spec") == spec)
-        return std::cout << type << "/" << name << " is so already, at version " << *version << "\n", 0;
+        return std::cout << type << "/" << name << " is unchanged, at version " << *version << "\n", 0;
     }
   }
-  auto answer = tool.call("PUT", path + "?version=" + std::to_string(*version), json::serialize(spec));
-  if (auto error = error_of(answer)) return tool.say(*error);
+  auto answer = client.call("PUT", path + "?version=" + std::to_string(*version), json::serialize(spec));
+  if (auto error = error_of(answer)) return client.report_error(*error);
   const json::value& value = std::get<json::value>(answer);
-  if (tool.as_json)
+  if (client.as_json)
     std::cout << json::serialize(value) << "\n";
   else
-    std::cout << type << "/" << name << " is at version " << plain(value.at("version")) << "\n";
+    std::cout << type << "/" << name << " is now at version " << to_text(value.at("version")) << "\n";
   return 0;
 }
 
-Result<std::vector<Document>> documents_of(const std::string& file) {
+Result<std::vector<Document>> read_document_file(const std::string& file) {
   std::string text;
   if (file == "-") {
     text.assign(std::istreambuf_iterator<char>(std::cin), {});
@@ -179,117 +180,117 @@
   return read_documents(text);
 }
 
-std::string share_text(double share, double wanted) {
+std::string fraction_text(double fraction, double target) {
   char text[48];
-  std::snprintf(text, sizeof text, "%.2f%% of %.2f%%", share * 100, wanted * 100);
+  std::snprintf(text, sizeof text, "%.2f%% of %.2f%%", fraction * 100, target * 100);
   return text;
 }
 
-Result<ConfigurationView> current_view(const Tool& tool) {
-  auto answer = tool.call("GET", "/v1/watch");
+Result<ConfigurationView> current_view(const OperatorClient& client) {
+  auto answer = client.call("GET", "/v1/watch");
   if (auto error = error_of(answer)) return *error;
   ConfigurationView view;
   for (const auto& each : std::get<json::value>(answer).at("resources").as_array()) {
     const Bytes spec = json::serialize(each.at("spec"));
-    put_in_view(view, plain(each.at("type")) + "/" + plain(each.at("name")), &spec,
+    put_in_view(view, to_text(each.at("type")) + "/" + to_text(each.at("name")), &spec,
                 Stamp{Epoch{}, Version{each.at("version").to_number<std::uint64_t>()}});
   }
   return view;
 }
 
-int check_or_plan(const Tool& tool, const std::string& file, bool plan_it) {
-  auto documents = documents_of(file);
-  if (auto error = error_of(documents)) return tool.say(*error);
+int check_or_plan(const OperatorClient& client, const std::string& file, bool show_plan) {
+  auto documents = read_document_file(file);
+  if (auto error = error_of(documents)) return client.report_error(*error);
   ConfigurationView view;
-  if (plan_it || !tool.controls.empty()) {
-    auto current = current_view(tool);
-    if (auto error = error_of(current)) return tool.say(*error);
+  if (show_plan || !client.control_addresses.empty()) {
+    auto current = current_view(client);
+    if (auto error = error_of(current)) return client.report_error(*error);
     view = std::get<ConfigurationView>(current);
   }
-  auto made = plan(std::get<std::vector<Document>>(documents), view);
-  if (auto error = error_of(made)) return tool.say(*error);
-  const Plan& found = std::get<Plan>(made);
-  if (!plan_it) return std::cout << std::get<std::vector<Document>>(documents).size() << " documents are good.\n", 0;
-  if (tool.as_json) return std::cout << json::serialize(to_json(found)) << "\n", 0;
+  auto planned = plan(std::get<std::vector<Document>>(documents), view);
+  if (auto error = error_of(planned)) return client.report_error(*error);
+  const Plan& found = std::get<Plan>(planned);
+  if (!show_plan) return std::cout << std::get<std::vector<Document>>(documents).size() << " documents are valid.\n", 0;
+  if (client.as_json) return std::cout << json::serialize(to_json(found)) << "\n", 0;
   for (const auto& line : found.changes) std::cout << line << "\n";
-  for (const auto& line : found.warnings) std::cout << "beware: " << line << "\n";
+  for (const auto& line : found.warnings) std::cout << "warning: " << line << "\n";
   if (found.changes.empty()) std::cout << "Nothing would change.\n";
   return 0;
 }
 
-int apply(const Tool& tool, const std::string& file) {
-  auto documents = documents_of(file);
-  if (auto error = error_of(documents)) return tool.say(*error);
+int apply(const OperatorClient& client, const std::string& file) {
+  auto documents = read_document_file(file);
+  if (auto error = error_of(documents)) return client.report_error(*error);
   // All documents are validated before the first one is sent, so that an invalid file changes nothing.
-  auto view = current_view(tool);
-  if (auto error = error_of(view)) return tool.say(*error);
-  auto made = plan(std::get<std::vector<Document>>(documents), std::get<ConfigurationView>(view));
-  if (auto error = error_of(made)) return tool.say(*error);
+  auto view = current_view(client);
+  if (auto error = error_of(view)) return client.report_error(*error);
+  auto planned = plan(std::get<std::vector<Document>>(documents), std::get<ConfigurationView>(view));
+  if (auto error = error_of(planned)) return client.report_error(*error);
   for (const auto& document : std::get<std::vector<Document>>(documents)) {
     auto checked = parse_json(document.canonical);
-    if (const int code = put(tool, document.type, document.name, std::get<json::value>(checked), document.version);
+    if (const int code = put(client, document.type, document.name, std::get<json::value>(checked), document.version);
         code != 0)
       return code;
   }
   return 0;
 }
 
-int remove(const Tool& tool, const std::string& type, const std::string& name) {
+int remove(const OperatorClient& client, const std::string& type, const std::string& name) {
   const std::string path = "/v1/resources/" + type + "/" + name;
-  auto current = tool.call("GET", path);
-  if (auto error = error_of(current)) return tool.say(*error);
-  auto answer = tool.call("DELETE", path + "?version=" + plain(std::get<json::value>(current).at("version")));
-  if (auto error = error_of(answer)) return tool.say(*error);
-  return std::cout << type << "/" << name << " is removed\n", 0;
+  auto current = client.call("GET", path);
+  if (auto error = error_of(current)) return client.report_error(*error);
+  auto answer = client.call("DELETE", path + "?version=" + to_text(std::get<json::value>(current).at("version")));
+  if (auto error = error_of(answer)) return client.report_error(*error);
+  return std::cout << type << "/" << name << " is deleted\n", 0;
 }
 
-int watch(const Tool& tool, std::uint64_t count) {
-  std::map<std::string, std::string> known;
+int watch(const OperatorClient& client, std::uint64_t count) {
+  std::map<std::string, std::string> previous;
   std::string digest;
   for (bool first = true; count > 0; first = false) {
-    auto answer = tool.call("GET", "/v1/watch" + (digest.empty() ? "" : "?digest=" + digest));
-    if (auto error = error_of(answer)) return tool.say(*error);
+    auto answer = client.call("GET", "/v1/watch" + (digest.empty() ? "" : "?digest=" + digest));
+    if (auto error = error_of(answer)) return client.report_error(*error);
     const json::value& value = std::get<json::value>(answer);
-    digest = plain(value.at("digest"));
-    std::map<std::string, std::string> now;
+    digest = to_text(value.at("digest"));
+    std::map<std::string, std::string> current;
     for (const auto& each : value.at("resources").as_array())
-      now[plain(each.at("type")) + "/" + plain(each.at("name"))] =
-          plain(each.at("version")) + " " + plain(each.at("spec"));
+      current[to_text(each.at("type")) + "/" + to_text(each.at("name"))] =
+          to_text(each.at("version")) + " " + to_text(each.at("spec"));
     auto print = [&](const std::string& line) {
       if (count == 0) return;
       std::cout << line << std::endl;
       if (!first) --count;
     };
-    for (const auto& [key, text] : now)
-      if (auto before = known.find(key); before == known.end() || before->second != text)
-        print(key + " version " + text);
-    for (const auto& [key, text] : known)
-      if (!now.contains(key)) print(key + " removed");
-    known = std::move(now);
+    for (const auto& [key, shown] : current)
+      if (auto before = previous.find(key); before == previous.end() || before->second != shown)
+        print(key + " version " + shown);
+    for (const auto& [key, shown] : previous)
+      if (!current.contains(key)) print(key + " removed");
+    previous = std::move(current);
   }
   return 0;
 }
 
 // Compares each aim with the requests that all daemons have counted since they started. Returns 1 if one is not met.
-int aims(const Tool& tool) {
-  auto view = current_view(tool);
-  if (auto error = error_of(view)) return tool.say(*error);
-  auto members = tool.call("GET", "/v1/members");
-  if (auto error = error_of(members)) return tool.say(*error);
+int aims(const OperatorClient& client) {
+  auto view = current_view(client);
+  if (auto error = error_of(view)) return client.report_error(*error);
+  auto members = client.call("GET", "/v1/members");
+  if (auto error = error_of(members)) return client.report_error(*error);
   std::map<std::string, AimCounts> sums;
-  std::size_t silent = 0;
+  std::size_t without_reply = 0;
   for (const auto& member : std::get<json::value>(members).at("members").as_array()) {
-    Tool one = tool;
-    one.controls = {Address(plain(member.at("control")))};
-    auto load = one.call("GET", "/v1/load");
+    OperatorClient member_client = client;
+    member_client.control_addresses = {Address(to_text(member.at("control")))};
+    auto load = member_client.call("GET", "/v1/load");
     if (error_of(load)) {
-      ++silent;
+      ++without_reply;
       continue;
     }
     auto counts = from_json<std::map<std::string, AimCounts>>(
         json::serialize(std::get<json::value>(load).at("entries").at("aims")));
     if (error_of(counts)) {
-      ++silent;
+      ++without_reply;
       continue;
     }
     for (const auto& [name, each] : std::get<0>(counts)) {
@@ -310,23 +311,24 @@
     list.push_back(json::object{{"aim", name},
                                 {"lane", aim.spec.lane},
                                 {"requests", sum.ended},
-                                {"answered", share_text(answered, aim.spec.answered)},
-                                {"in_time", share_text(in_time, aim.spec.in_time)},
+                                {"answered", fraction_text(answered, aim.spec.answered)},
+                                {"in_time", fraction_text(in_time, aim.spec.in_time)},
                                 {"met", met}});
   }
-  if (silent > 0) std::cerr << "mothwalk-operator: " << silent << " daemons did not answer and are not counted.\n";
-  show_list(tool, json::value(list), list, {"aim", "lane", "requests", "answered", "in_time", "met"});
+  if (without_reply > 0)
+    std::cerr << "mothwalk-operator: " << without_reply << " daemons did not reply and are not counted.\n";
+  show_list(client, json::value(list), list, {"aim", "lane", "requests", "answered", "in_time", "met"});
   return all_met ? 0 : 1;
 }
 
-int health(const Tool& tool) {
-  auto members = tool.call("GET", "/v1/members");
-  if (auto error = error_of(members)) return tool.say(*error);
+int health(const OperatorClient& client) {
+  auto members = client.call("GET", "/v1/members");
+  if (auto error = error_of(members)) return client.report_error(*error);
   json::array list;
   int code = 0;
   for (const auto& member : std::get<json::value>(members).at("members").as_array()) {
-    Tool one{{Address(plain(member.at("control")))}, tool.as_json};
-    auto answer = one.call("GET", "/v1/health");
+    OperatorClient member_client{{Address(to_text(member.at("control")))}, client.as_json};
+    auto answer = member_client.call("GET", "/v1/health");
     if (error_of(answer)) {
       list.push_back(
           json::object{{"address", member.at("address")}, {"zone", member.at("zone")}, {"state", "no answer"}});
@@ -334,94 +336,94 @@
       continue;
     }
     list.push_back(std::get<json::value>(answer));
-    if (plain(list.back().at("state")) != "serving") code = 1;
+    if (to_text(list.back().at("state")) != "serving") code = 1;
   }
-  show_list(tool, json::value(list), list,
+  show_list(client, json::value(list), list,
             {"address", "zone", "state", "seated", "slots", "members", "roster", "stalled", "digest"});
   return code;
 }
 
-int run(const Tool& tool, const std::vector<std::string>& words) {
-  const std::string& command = words[0];
-  auto wrong = [&](const std::string& what) {
-    return tool.say(Error{ErrorKind::invalid, "command", what, "see mothwalk-operator --help"});
+int run(const OperatorClient& client, const std::vector<std::string>& arguments) {
+  const std::string& command = arguments[0];
+  auto usage_error = [&](const std::string& what) {
+    return client.report_error(Error{ErrorKind::invalid, "command", what, "see mothwalk-operator --help"});
   };
-  const std::string first = words.size() > 1 ? words[1] : "", second = words.size() > 2 ? words[2] : "";
-  auto needs = [&](std::size_t least, std::size_t most) {
-    return words.size() - 1 >= least && words.size() - 1 <= most;
+  const std::string first = arguments.size() > 1 ? arguments[1] : "", second = arguments.size() > 2 ? arguments[2] : "";
+  auto has_arguments = [&](std::size_t min_count, std::size_t max_count) {
+    return arguments.size() - 1 >= min_count && arguments.size() - 1 <= max_count;
   };
-  if (command == "get" && needs(1, 2)) return get(tool, first, second);
-  if (command == "apply" && needs(1, 1)) return apply(tool, first);
-  if (command == "check" && needs(1, 1)) return check_or_plan(tool, first, false);
-  if (command == "plan" && needs(1, 1)) return check_or_plan(tool, first, true);
-  if (command == "delete" && needs(2, 2)) return remove(tool, first, second);
-  if (command == "evacuate" && needs(1, 1))
-    return put(tool, "zone", first, json::object{{"evacuated", true}}, std::nullopt);
-  if (command == "restore" && needs(1, 1))
-    return put(tool, "zone", first, json::object{{"evacuated", false}}, std::nullopt);
-  if (command == "retire" && needs(1, 1))
-    return put(tool, "holder", first, json::object{{"retired", true}}, std::nullopt);
-  if (command == "reinstate" && needs(1, 1))
-    return put(tool, "holder", first, json::object{{"retired", false}}, std::nullopt);
-  if (command == "circle" && needs(0, 1)) return get(tool, "circle", first);
-  if ((command == "health" || command == "soundness") && needs(0, 0)) return health(tool);
-  if (command == "aims" && needs(0, 0)) return aims(tool);
-  if (command == "watch" && needs(0, 1)) {
+  if (command == "get" && has_arguments(1, 2)) return get(client, first, second);
+  if (command == "apply" && has_arguments(1, 1)) return apply(client, first);
+  if (command == "check" && has_arguments(1, 1)) return check_or_plan(client, first, false);
+  if (command == "plan" && has_arguments(1, 1)) return check_or_plan(client, first, true);
+  if (command == "delete" && has_arguments(2, 2)) return remove(client, first, second);
+  if (command == "evacuate" && has_arguments(1, 1))
+    return put(client, "zone", first, json::object{{"evacuated", true}}, std::nullopt);
+  if (command == "restore" && has_arguments(1, 1))
+    return put(client, "zone", first, json::object{{"evacuated", false}}, std::nullopt);
+  if (command == "retire" && has_arguments(1, 1))
+    return put(client, "holder", first, json::object{{"retired", true}}, std::nullopt);
+  if (command == "reinstate" && has_arguments(1, 1))
+    return put(client, "holder", first, json::object{{"retired", false}}, std::nullopt);
+  if (command == "circle" && has_arguments(0, 1)) return get(client, "circle", first);
+  if ((command == "health" || command == "soundness") && has_arguments(0, 0)) return health(client);
+  if (command == "aims" && has_arguments(0, 0)) return aims(client);
+  if (command == "watch" && has_arguments(0, 1)) {
     if (!first.empty() && (first.size() > 9 || first.find_first_not_of("0123456789") != std::string::npos))
-      return wrong("'" + first + "' is not a count");
-    return watch(tool, first.empty() ? UINT64_MAX : std::stoull(first));
+      return usage_error("'" + first + "' is not a count");
+    return watch(client, first.empty() ? UINT64_MAX : std::stoull(first));
   }
-  if (command == "members" && needs(0, 0)) {
-    auto answer = tool.call("GET", "/v1/members");
-    if (auto error = error_of(answer)) return tool.say(*error);
+  if (command == "members" && has_arguments(0, 0)) {
+    auto answer = client.call("GET", "/v1/members");
+    if (auto error = error_of(answer)) return client.report_error(*error);
     const json::value& value = std::get<json::value>(answer);
-    return show_list(tool, value, value.at("members").as_array(),
+    return show_list(client, value, value.at("members").as_array(),
                      {"address", "zone", "callers", "control", "holder", "roster", "version"});
   }
-  if (command == "lots" && needs(0, 1)) {
-    auto answer = tool.call("GET", "/lots" + (first.empty() ? "" : "/" + first));
-    if (auto error = error_of(answer)) return tool.say(*error);
+  if (command == "lots" && has_arguments(0, 1)) {
+    auto answer = client.call("GET", "/lots" + (first.empty() ? "" : "/" + first));
+    if (auto error = error_of(answer)) return client.report_error(*error);
     const json::value& value = std::get<json::value>(answer);
     if (first.empty()) {
-      if (!tool.as_json && !value.at("whole").as_bool())
-        std::cerr << "mothwalk-operator: some holders did not answer; the list is not whole.\n";
+      if (!client.as_json && !value.at("whole").as_bool())
+        std::cerr << "mothwalk-operator: some storage nodes did not reply; the list is incomplete.\n";
       const int code =
-          show_list(tool, value, value.at("lots").as_array(), {"id", "lane", "state", "items", "results", "started"});
+          show_list(client, value, value.at("lots").as_array(), {"id", "lane", "state", "items", "results", "started"});
       return value.at("whole").as_bool() ? code : 1;
     }
-    return show_list(tool, value, json::array{value}, {"id", "lane", "state", "items", "results", "started"});
+    return show_list(client, value, json::array{value}, {"id", "lane", "state", "items", "results", "started"});
   }
-  if (command == "cancel" && needs(1, 1)) {
-    auto answer = tool.call("DELETE", "/lots/" + first);
-    if (auto error = error_of(answer)) return tool.say(*error);
-    return std::cout << "lot " << first << " is " << plain(std::get<json::value>(answer).at("state")) << "\n", 0;
+  if (command == "cancel" && has_arguments(1, 1)) {
+    auto answer = client.call("DELETE", "/lots/" + first);
+    if (auto error = error_of(answer)) return client.report_error(*error);
+    return std::cout << "lot " << first << " is " << to_text(std::get<json::value>(answer).at("state")) << "\n", 0;
   }
-  return wrong("'" + command + "' is not a command, or its words are too few or too many");
+  return usage_error("'" + command + "' is not a command, or it has too few or too many arguments");
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  Tool tool;
-  std::string controls = ::getenv("MOTHWALK_CONTROL") == nullptr ? "" : ::getenv("MOTHWALK_CONTROL");
+  OperatorClient client;
+  std::string control_addresses = ::getenv("MOTHWALK_CONTROL") == nullptr ? "" : ::getenv("MOTHWALK_CONTROL");
   const option flags[] = {
       {"control", 1, nullptr, 'c'}, {"json", 0, nullptr, 'j'}, {"help", 0, nullptr, 'h'}, {nullptr, 0, nullptr, 0}};
-  for (int found = 0; (found = getopt_long(count, words, "", flags, nullptr)) != -1;) {
+  for (int found = 0; (found = getopt_long(count, arguments, "", flags, nullptr)) != -1;) {
     if (found == 'c')
-      controls = optarg;
+      control_addresses = optarg;
     else if (found == 'j')
-      tool.as_json = true;
+      client.as_json = true;
     else if (found == 'h')
       return std::cout << help, 0;
     else
       return 2;
   }
-  while (!controls.empty()) {
-    const auto comma = std::min(controls.find(','), controls.size());
-    tool.controls.push_back(Address(controls.substr(0, comma)));
-    controls.erase(0, comma + 1);
+  while (!control_addresses.empty()) {
+    const auto comma = std::min(control_addresses.find(','), control_addresses.size());
+    client.control_addresses.push_back(Address(control_addresses.substr(0, comma)));
+    control_addresses.erase(0, comma + 1);
   }
   if (optind >= count) return std::cerr << help, 2;
-  return run(tool, std::vector<std::string>(words + optind, words + count));
+  return run(client, std::vector<std::string>(arguments + optind, arguments + count));
 }
--- a/source/operator/planner.cpp
+++ b/source/operator/planner.cpp
@@ -19,11 +19,11 @@
   for (std::size_t index = 0; index < list.size(); ++index) {
     const std::string path =
         value.is_array() ? std::string("[").append(std::to_string(index)).append("]") : std::string();
-    auto wrong = [&](const std::string& field, const std::string& message, const std::string& remedy) {
+    auto invalid_document = [&](const std::string& field, const std::string& message, const std::string& remedy) {
       return Error{ErrorKind::invalid, path + (path.empty() || field.empty() ? "" : ".") + field, message, remedy};
     };
     if (!list[index].is_object())
-      return wrong("", "the document is not an object", "give {\"type\", \"name\", \"spec\"}");
+      return invalid_document("", "the document is not a JSON object", "give {\"type\", \"name\", \"spec\"}");
     Document document;
     bool has_spec = false;
     for (const auto& each : list[index].as_object()) {
@@ -41,9 +41,9 @@
         has_spec = true;
       } else
         error = Error{ErrorKind::invalid, field, "this field is not known", "use only: type, name, version, spec"};
-      if (error) return wrong(error->field, error->message, error->remedy);
+      if (error) return invalid_document(error->field, error->message, error->remedy);
     }
-    if (!has_spec) return wrong("spec", "the spec is missing", "give the resource's fields under spec");
+    if (!has_spec) return invalid_document("spec", "the spec is missing", "give the resource's fields under spec");
     documents.push_back(std::move(document));
   }
   return documents;
@@ -84,19 +84,19 @@
 }
 
 // The runners of a kind that may get work: those that are neither leaving nor in an evacuated zone.
-struct Able {
+struct UsableRunners {
   std::size_t runners = 0;
   std::map<std::string, std::size_t> by_zone;
 };
 
-Able able_runners(const ConfigurationView& view, const std::string& kind) {
-  Able able;
+UsableRunners usable_runners(const ConfigurationView& view, const std::string& kind) {
+  UsableRunners usable;
   for (const auto& [name, runner] : view.runners) {
     if (runner.spec.kind.text != kind || runner.spec.leaving || view.evacuated(runner.spec.zone)) continue;
-    ++able.runners;
-    ++able.by_zone[runner.spec.zone.text];
+    ++usable.runners;
+    ++usable.by_zone[runner.spec.zone.text];
   }
-  return able;
+  return usable;
 }
 
 }  // namespace
@@ -119,45 +119,46 @@
       return Error{ErrorKind::stale, key + ".version",
                    "the document is for version " + std::to_string(*document.version) + ", the resource is at " +
                        std::to_string(version_of(before, document.type, document.name)),
-                   "read the resource again and make your change to that version"};
+                   "read the resource again and base your change on that version"};
     const std::string old_spec = spec_of(after, document.type, document.name);
     if (old_spec.empty())
-      result.changes.push_back(key + " would be made");
+      result.changes.push_back(key + " would be created");
     else if (old_spec != document.canonical)
-      result.changes.push_back(key + " would go from version " + std::to_string(current) + " " + old_spec + " to " +
+      result.changes.push_back(key + " would change from version " + std::to_string(current) + " " + old_spec + " to " +
                                document.canonical);
     put_in_view(after, key, &document.canonical, Stamp{Epoch{}, Version{current + 1}});
   }
   for (const auto& [kind, settings] : after.kinds) {
-    const Able then = able_runners(before, kind), now = able_runners(after, kind);
-    if (then.runners != now.runners)
-      result.changes.push_back("kind " + kind + ": runners that may take work, " + std::to_string(then.runners) +
-                               " to " + std::to_string(now.runners));
-    if (now.runners < settings.spec.circle.floor)
-      result.warnings.push_back("kind " + kind + " has " + std::to_string(now.runners) + " runners for a floor of " +
+    const UsableRunners usable_before = usable_runners(before, kind), usable_after = usable_runners(after, kind);
+    if (usable_before.runners != usable_after.runners)
+      result.changes.push_back("kind " + kind + ": the number of runners that may get work would change from " +
+                               std::to_string(usable_before.runners) + " to " + std::to_string(usable_after.runners));
+    if (usable_after.runners < settings.spec.circle.floor)
+      result.warnings.push_back("kind " + kind + " would have " + std::to_string(usable_after.runners) +
+                                " usable runners, fewer than its floor of " +
                                 std::to_string(settings.spec.circle.floor));
     auto circle = before.circles.find(kind);
     if (circle != before.circles.end()) {
-      std::size_t stay = 0;
+      std::size_t remaining_members = 0;
       for (const auto& member : circle->second.spec.members) {
         auto runner = after.runners.find(member.text);
-        stay += runner != after.runners.end() && runner->second.spec.kind.text == kind &&
-                !runner->second.spec.leaving && !after.evacuated(runner->second.spec.zone);
+        remaining_members += runner != after.runners.end() && runner->second.spec.kind.text == kind &&
+                             !runner->second.spec.leaving && !after.evacuated(runner->second.spec.zone);
       }
       const std::size_t size = circle->second.spec.members.size();
-      if (stay < size)
-        result.changes.push_back("circle " + kind + ": " + std::to_string(size - stay) + " of " + std::to_string(size) +
-                                 " members would be replaced");
-      if (now.runners < size)
+      if (remaining_members < size)
+        result.changes.push_back("circle " + kind + ": " + std::to_string(size - remaining_members) + " of " +
+                                 std::to_string(size) + " members would be replaced");
+      if (usable_after.runners < size)
         result.warnings.push_back("circle " + kind + " would shrink from " + std::to_string(size) + " to " +
-                                  std::to_string(now.runners));
+                                  std::to_string(usable_after.runners));
     }
-    for (const auto& [zone, count] : then.by_zone)
-      if (!now.by_zone.contains(zone))
-        result.warnings.push_back("zone " + zone + " would have no runner of kind " + kind + " that takes work");
-    if (now.runners == 0)
+    for (const auto& [zone, count] : usable_before.by_zone)
+      if (!usable_after.by_zone.contains(zone))
+        result.warnings.push_back("zone " + zone + " would have no runner of kind " + kind + " that may get work");
+    if (usable_after.runners == 0)
       for (const auto& [name, lane] : after.lanes)
-        if (lane.spec.kind.text == kind) result.warnings.push_back("lane " + name + " leads to no runner");
+        if (lane.spec.kind.text == kind) result.warnings.push_back("lane " + name + " would have no runner");
   }
   return result;
 }
