--- a/source/configuration/resources.cpp
+++ b/source/configuration/resources.cpp
@@ -110,15 +110,16 @@
   return std::nullopt;
 }
 
+// A zone with runners may only be evacuated if another zone has runners that may get work.
 OptionalError check(const Zone& zone, StringView name, const ConfigurationView& view) {
   if (!zone.evacuated) return std::nullopt;
-  std::set<std::string> others;
+  std::set<std::string> other_zones;
   for (const auto& [id, runner] : view.runners)
     if (runner.spec.zone.text != name && !view.evacuated(runner.spec.zone) && !runner.spec.leaving)
-      others.insert(runner.spec.zone.text);
-  bool any_here = false;
-  for (const auto& [id, runner] : view.runners) any_here = any_here || runner.spec.zone.text == name;
-  if (any_here && others.empty())
+      other_zones.insert(runner.spec.zone.text);
+  bool has_runners = false;
+  for (const auto& [id, runner] : view.runners) has_runners = has_runners || runner.spec.zone.text == name;
+  if (has_runners && other_zones.empty())
     return Error{ErrorKind::conflict, "evacuated", "no runner would be left outside evacuated zones",
                  "restore another zone first"};
   return std::nullopt;
@@ -134,24 +135,26 @@
   return std::nullopt;
 }
 
+// A voter may only be retired if at least three others remain that are not retired, because two of three voters are
+// still a majority when one more fails.
 OptionalError check(const StorageNodeMark& mark, StringView name, const ConfigurationView& view) {
   if (!mark.retired) return std::nullopt;
   bool is_voter = false;
-  std::size_t others = 0;
+  std::size_t other_voters = 0;
   for (const Roster* roster : {&view.roster, &view.lot_roster}) {
     if (is_voter) break;
-    others = 0;
+    other_voters = 0;
     for (const auto& voter : roster->seats) {
-      auto other = view.holders.find(voter.address.text);
+      auto mark_of_other = view.holders.find(voter.address.text);
       if (voter.address.text == name)
         is_voter = true;
       else
-        others += other == view.holders.end() || !other->second.spec.retired;
+        other_voters += mark_of_other == view.holders.end() || !mark_of_other->second.spec.retired;
     }
   }
-  if (is_voter && others < 3)
+  if (is_voter && other_voters < 3)
     return Error{ErrorKind::conflict, "retired",
-                 "only " + std::to_string(others) + " voters would remain, too few to tolerate a failure",
+                 "only " + std::to_string(other_voters) + " voters would remain, too few to tolerate a failure",
                  "start another storage node and wait until it is a voter"};
   return std::nullopt;
 }
@@ -160,8 +163,8 @@
   if (!view.lanes.contains(aim.lane))
     return invalid_field("lane", "there is no lane '" + aim.lane + "'",
                          "apply that lane first, or name an existing one");
-  for (auto [field, share] : {std::pair<StringView, double>{"answered", aim.answered}, {"in_time", aim.in_time}})
-    if (!(share > 0 && share <= 1))
+  for (auto [field, fraction] : {std::pair<StringView, double>{"answered", aim.answered}, {"in_time", aim.in_time}})
+    if (!(fraction > 0 && fraction <= 1))
       return invalid_field(std::string(field), "the fraction is outside (0, 1]", "give a fraction such as 0.99");
   return check_positive("first_piece", aim.first_piece);
 }
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -11,6 +11,8 @@
 using std::chrono::milliseconds;
 constexpr Duration write_timeout = milliseconds(5000);
 
+// The reply for an error. Its "outcome" tells whether nothing was changed ("refused") or the call may have taken effect
+// ("unknown").
 ControlReply error_reply(const Error& error) {
   const bool may_retry = error.kind == ErrorKind::refused || error.kind == ErrorKind::unknown ||
                          error.kind == ErrorKind::busy || error.kind == ErrorKind::lost;
@@ -38,16 +40,16 @@
 }
 
 // Calls the function with the table of the given resource type. Returns false where there is no such type.
-template <class Use>
-bool with_table(const ConfigurationView& view, StringView type, Use use) {
-  if (type == "lane") return use(view.lanes), true;
-  if (type == "kind") return use(view.kinds), true;
-  if (type == "runner") return use(view.runners), true;
-  if (type == "zone") return use(view.zones), true;
-  if (type == "lots") return use(view.lots), true;
-  if (type == "holder") return use(view.holders), true;
-  if (type == "aim") return use(view.aims), true;
-  if (type == "circle") return use(view.circles), true;
+template <class Callback>
+bool with_table(const ConfigurationView& view, StringView type, Callback callback) {
+  if (type == "lane") return callback(view.lanes), true;
+  if (type == "kind") return callback(view.kinds), true;
+  if (type == "runner") return callback(view.runners), true;
+  if (type == "zone") return callback(view.zones), true;
+  if (type == "lots") return callback(view.lots), true;
+  if (type == "holder") return callback(view.holders), true;
+  if (type == "aim") return callback(view.aims), true;
+  if (type == "circle") return callback(view.circles), true;
   return false;
 }
 
@@ -73,14 +75,14 @@
   if (!value.is_object())
     return Error{ErrorKind::invalid, "body", "the lot is not a JSON object",
                  "give an object with lane, deadline and items"};
-  LotSpecification head;
+  LotSpecification lot;
   const json::value* items = nullptr;
   for (const auto& each : value.as_object()) {
     std::optional<Error> error;
     if (each.key() == "lane")
-      error = JsonReader::read(each.value(), head.lane, "lane");
+      error = JsonReader::read(each.value(), lot.lane, "lane");
     else if (each.key() == "deadline" || each.key() == former_name("deadline"))
-      error = JsonReader::read(each.value(), head.deadline, "deadline");
+      error = JsonReader::read(each.value(), lot.deadline, "deadline");
     else if (each.key() == "items")
       items = &each.value();
     else
@@ -88,14 +90,14 @@
                     "use only: lane, deadline, items"};
     if (error) return *error;
   }
-  if (head.lane.empty())
+  if (lot.lane.empty())
     return Error{ErrorKind::invalid, "lane", "the lot names no lane", "name the lane that its items belong to"};
   if (items == nullptr || !items->is_array())
     return Error{ErrorKind::invalid, "items", "the items are missing or not a list", "give a list of JSON values"};
   for (const auto& item : items->as_array())
-    head.items.push_back(
+    lot.items.push_back(
         LotItem{"", "", {}, item.is_string() ? std::string(item.as_string()) : json::serialize(item), 0});
-  return head;
+  return lot;
 }
 
 Control::Control(Messenger& messenger, SharedState& shared_state, RandomSource& random, Member self,
@@ -110,8 +112,8 @@
 
 std::optional<Control::Target> Control::parse_target(StringView target) {
   Target parsed;
-  const auto mark = target.find('?');
-  StringView path = target.substr(0, mark);
+  const auto question_mark = target.find('?');
+  StringView path = target.substr(0, question_mark);
   if (path.empty() || path[0] != '/') return std::nullopt;
   path.remove_prefix(1);
   while (!path.empty()) {
@@ -124,7 +126,7 @@
   if (parsed.parts.size() > 1 && parsed.parts[1] == "soundness") parsed.parts[1] = "health";
   if (parsed.parts.size() > 1 && parsed.parts[1] == "usage") parsed.parts[1] = "load";
   if (parsed.parts.size() > 2) parsed.parts[2] = current_type(parsed.parts[2]);
-  StringView query = mark == StringView::npos ? StringView{} : target.substr(mark + 1);
+  StringView query = question_mark == StringView::npos ? StringView{} : target.substr(question_mark + 1);
   while (!query.empty()) {
     const auto end = query.find('&');
     const StringView pair = query.substr(0, end);
@@ -201,8 +203,8 @@
     return;
   }
   std::uint64_t expected = 0;
-  if (auto given = target.query.find("version"); given != target.query.end()) {
-    auto number = parse_integer(given->second);
+  if (auto parameter = target.query.find("version"); parameter != target.query.end()) {
+    auto number = parse_integer(parameter->second);
     if (!number)
       return respond(error_reply(Error{ErrorKind::invalid, "version", "the version is not an integer",
                                        "give the version that you read, or 0 to create"}));
@@ -223,12 +225,12 @@
   Write change;
   change.key = type + "/" + name;
   change.removed = true;
-  auto given = target.query.find("version");
-  if (given == target.query.end() || !parse_integer(given->second))
+  auto parameter = target.query.find("version");
+  if (parameter == target.query.end() || !parse_integer(parameter->second))
     return respond(
         error_reply(Error{ErrorKind::invalid, "version", "the version to be removed is missing or not an integer",
                           "add ?version=N with the version that you read"}));
-  change.expected = *parse_integer(given->second);
+  change.expected = *parse_integer(parameter->second);
   if (*change.expected == 0)
     return respond(
         error_reply(Error{ErrorKind::unknown_name, "name", "there is no resource with this name", "check the name"}));
@@ -310,8 +312,8 @@
 
 void Control::watch(const Target& target, TimePoint deadline, ControlAnswer respond) {
   const auto configuration = shared_state_.configuration.get();
-  auto given = target.query.find("digest");
-  if (given != target.query.end() && given->second == std::to_string(configuration->digest) &&
+  auto parameter = target.query.find("digest");
+  if (parameter != target.query.end() && parameter->second == std::to_string(configuration->digest) &&
       messenger_.timers().now() < deadline) {
     messenger_.timers().after(milliseconds(100),
                               [this, target, deadline, respond] { watch(target, deadline, respond); });
@@ -386,9 +388,9 @@
       return respond(
           error_reply(Error{ErrorKind::refused, "lots", "this daemon is shutting down and did not accept the lot",
                             "submit it again to another daemon"}));
-    auto head = read_lot(request.body);
-    if (auto error = error_of(head)) return respond(error_reply(*error));
-    return lots_.submit(SubmitLot{id, std::move(std::get<LotSpecification>(head))}, write_timeout, respond_with);
+    auto lot = read_lot(request.body);
+    if (auto error = error_of(lot)) return respond(error_reply(*error));
+    return lots_.submit(SubmitLot{id, std::move(std::get<LotSpecification>(lot))}, write_timeout, respond_with);
   }
   if (parts.size() == 2 && request.method == "DELETE") return lots_.end(id, write_timeout, respond_with);
   if (parts.size() == 2 && request.method == "GET")
@@ -399,8 +401,8 @@
   if (parts.size() == 3 && parts[2] == "results" && request.method == "GET") {
     std::uint32_t after = 0, limit = 100;
     for (auto [name, value] : {std::pair<const char*, std::uint32_t*>{"after", &after}, {"limit", &limit}})
-      if (auto given = target.query.find(name); given != target.query.end()) {
-        auto number = parse_integer(given->second);
+      if (auto parameter = target.query.find(name); parameter != target.query.end()) {
+        auto number = parse_integer(parameter->second);
         if (!number || *number > 1000000)
           return respond(error_reply(
               Error{ErrorKind::invalid, name, "this is not an integer in the allowed range", "give 0 to 1000000"}));
--- a/source/operator/main.cpp
+++ b/source/operator/main.cpp
@@ -64,13 +64,13 @@
     Error last_error{ErrorKind::lost, "control", "no control address is given",
                      "name one with --control or MOTHWALK_CONTROL"};
     for (const auto& address : control_addresses) {
-      auto answer = http_call(address, method, target, body, std::chrono::seconds(25));
-      if (auto error = error_of(answer)) {
+      auto reply = http_call(address, method, target, body, std::chrono::seconds(25));
+      if (auto error = error_of(reply)) {
         last_error = *error;
         if (error->kind != ErrorKind::lost && method != "GET") return last_error;
         continue;
       }
-      const HttpAnswer& response = std::get<HttpAnswer>(answer);
+      const HttpAnswer& response = std::get<HttpAnswer>(reply);
       auto parsed = parse_json(response.body);
       if (auto error = error_of(parsed)) return *error;
       json::value value = std::get<json::value>(parsed);
@@ -125,9 +125,9 @@
 }
 
 int get(const OperatorClient& client, const std::string& type, const std::string& name) {
-  auto answer = client.call("GET", "/v1/resources/" + type + (name.empty() ? "" : "/" + name));
-  if (auto error = error_of(answer)) return client.report_error(*error);
-  const json::value& value = std::get<json::value>(answer);
+  auto reply = client.call("GET", "/v1/resources/" + type + (name.empty() ? "" : "/" + name));
+  if (auto error = error_of(reply)) return client.report_error(*error);
+  const json::value& value = std::get<json::value>(reply);
   if (name.empty())
     return show_list(client, value, value.at("resources").as_array(), {"type", "name", "version", "spec"});
   if (client.as_json) return std::cout << json::serialize(value) << "\n", 0;
@@ -157,9 +157,9 @@
         return std::cout << type << "/" << name << " is unchanged, at version " << *version << "\n", 0;
     }
   }
-  auto answer = client.call("PUT", path + "?version=" + std::to_string(*version), json::serialize(spec));
-  if (auto error = error_of(answer)) return client.report_error(*error);
-  const json::value& value = std::get<json::value>(answer);
+  auto reply = client.call("PUT", path + "?version=" + std::to_string(*version), json::serialize(spec));
+  if (auto error = error_of(reply)) return client.report_error(*error);
+  const json::value& value = std::get<json::value>(reply);
   if (client.as_json)
     std::cout << json::serialize(value) << "\n";
   else
@@ -186,11 +186,12 @@
   return text;
 }
 
+// Reads the current configuration from a daemon.
 Result<ConfigurationView> current_view(const OperatorClient& client) {
-  auto answer = client.call("GET", "/v1/watch");
-  if (auto error = error_of(answer)) return *error;
+  auto reply = client.call("GET", "/v1/watch");
+  if (auto error = error_of(reply)) return *error;
   ConfigurationView view;
-  for (const auto& each : std::get<json::value>(answer).at("resources").as_array()) {
+  for (const auto& each : std::get<json::value>(reply).at("resources").as_array()) {
     const Bytes spec = json::serialize(each.at("spec"));
     put_in_view(view, to_text(each.at("type")) + "/" + to_text(each.at("name")), &spec,
                 Stamp{Epoch{}, Version{each.at("version").to_number<std::uint64_t>()}});
@@ -198,6 +199,8 @@
   return view;
 }
 
+// Validates a file against the current configuration, or against an empty one if no control address is given. With
+// show_plan, prints what applying the file would change.
 int check_or_plan(const OperatorClient& client, const std::string& file, bool show_plan) {
   auto documents = read_document_file(file);
   if (auto error = error_of(documents)) return client.report_error(*error);
@@ -239,18 +242,19 @@
   const std::string path = "/v1/resources/" + type + "/" + name;
   auto current = client.call("GET", path);
   if (auto error = error_of(current)) return client.report_error(*error);
-  auto answer = client.call("DELETE", path + "?version=" + to_text(std::get<json::value>(current).at("version")));
-  if (auto error = error_of(answer)) return client.report_error(*error);
+  auto reply = client.call("DELETE", path + "?version=" + to_text(std::get<json::value>(current).at("version")));
+  if (auto error = error_of(reply)) return client.report_error(*error);
   return std::cout << type << "/" << name << " is deleted\n", 0;
 }
 
+// Prints all resources first, and then each change. Only changes count towards the given number.
 int watch(const OperatorClient& client, std::uint64_t count) {
   std::map<std::string, std::string> previous;
   std::string digest;
   for (bool first = true; count > 0; first = false) {
-    auto answer = client.call("GET", "/v1/watch" + (digest.empty() ? "" : "?digest=" + digest));
-    if (auto error = error_of(answer)) return client.report_error(*error);
-    const json::value& value = std::get<json::value>(answer);
+    auto reply = client.call("GET", "/v1/watch" + (digest.empty() ? "" : "?digest=" + digest));
+    if (auto error = error_of(reply)) return client.report_error(*error);
+    const json::value& value = std::get<json::value>(reply);
     digest = to_text(value.at("digest"));
     std::map<std::string, std::string> current;
     for (const auto& each : value.at("resources").as_array())
@@ -261,10 +265,10 @@
       std::cout << line << std::endl;
       if (!first) --count;
     };
-    for (const auto& [key, shown] : current)
-      if (auto before = previous.find(key); before == previous.end() || before->second != shown)
-        print(key + " version " + shown);
-    for (const auto& [key, shown] : previous)
+    for (const auto& [key, version_and_spec] : current)
+      if (auto before = previous.find(key); before == previous.end() || before->second != version_and_spec)
+        print(key + " version " + version_and_spec);
+    for (const auto& [key, version_and_spec] : previous)
       if (!current.contains(key)) print(key + " removed");
     previous = std::move(current);
   }
@@ -321,6 +325,7 @@
   return all_met ? 0 : 1;
 }
 
+// Prints the state of each daemon. Returns 1 if one is not serving.
 int health(const OperatorClient& client) {
   auto members = client.call("GET", "/v1/members");
   if (auto error = error_of(members)) return client.report_error(*error);
@@ -328,14 +333,14 @@
   int code = 0;
   for (const auto& member : std::get<json::value>(members).at("members").as_array()) {
     OperatorClient member_client{{Address(to_text(member.at("control")))}, client.as_json};
-    auto answer = member_client.call("GET", "/v1/health");
-    if (error_of(answer)) {
+    auto reply = member_client.call("GET", "/v1/health");
+    if (error_of(reply)) {
       list.push_back(
           json::object{{"address", member.at("address")}, {"zone", member.at("zone")}, {"state", "no answer"}});
       code = 1;
       continue;
     }
-    list.push_back(std::get<json::value>(answer));
+    list.push_back(std::get<json::value>(reply));
     if (to_text(list.back().at("state")) != "serving") code = 1;
   }
   show_list(client, json::value(list), list,
@@ -374,16 +379,16 @@
     return watch(client, first.empty() ? UINT64_MAX : std::stoull(first));
   }
   if (command == "members" && has_arguments(0, 0)) {
-    auto answer = client.call("GET", "/v1/members");
-    if (auto error = error_of(answer)) return client.report_error(*error);
-    const json::value& value = std::get<json::value>(answer);
+    auto reply = client.call("GET", "/v1/members");
+    if (auto error = error_of(reply)) return client.report_error(*error);
+    const json::value& value = std::get<json::value>(reply);
     return show_list(client, value, value.at("members").as_array(),
                      {"address", "zone", "callers", "control", "holder", "roster", "version"});
   }
   if (command == "lots" && has_arguments(0, 1)) {
-    auto answer = client.call("GET", "/lots" + (first.empty() ? "" : "/" + first));
-    if (auto error = error_of(answer)) return client.report_error(*error);
-    const json::value& value = std::get<json::value>(answer);
+    auto reply = client.call("GET", "/lots" + (first.empty() ? "" : "/" + first));
+    if (auto error = error_of(reply)) return client.report_error(*error);
+    const json::value& value = std::get<json::value>(reply);
     if (first.empty()) {
       if (!client.as_json && !value.at("whole").as_bool())
         std::cerr << "mothwalk-operator: some storage nodes did not reply; the list is incomplete.\n";
@@ -394,9 +399,9 @@
     return show_list(client, value, json::array{value}, {"id", "lane", "state", "items", "results", "started"});
   }
   if (command == "cancel" && has_arguments(1, 1)) {
-    auto answer = client.call("DELETE", "/lots/" + first);
-    if (auto error = error_of(answer)) return client.report_error(*error);
-    return std::cout << "lot " << first << " is " << to_text(std::get<json::value>(answer).at("state")) << "\n", 0;
+    auto reply = client.call("DELETE", "/lots/" + first);
+    if (auto error = error_of(reply)) return client.report_error(*error);
+    return std::cout << "lot " << first << " is " << to_text(std::get<json::value>(reply).at("state")) << "\n", 0;
   }
   return usage_error("'" + command + "' is not a command, or it has too few or too many arguments");
 }
