--- a/source/configuration/resources.hpp
+++ b/source/configuration/resources.hpp
@@ -18,6 +18,7 @@
 struct CircleSettings {
   bool all = false;     // Keeps every usable runner in the circle instead of sizing the circle by load.
   double target = 0.6;  // The load that the controller aims at, as a fraction of the members' full load.
+
   // The number of live prompts that counts as full load of a runner, where that is fewer than its slots. 0 means all
   // its slots.
   std::uint32_t concurrency = 0;
@@ -43,6 +44,7 @@
   double overcommit = 1.5;        // Prompts per slot that a runner may be sent before further clients wait.
   std::uint32_t connections = 0;  // Connections that one runner accepts from all daemons together. 0 means no limit.
   std::string health_path;        // The path of the runners' health check. Empty means that it is not queried.
+
   // How long a runner stays cold after a start of its process. A cold runner can't take its normal load yet.
   Duration warming{};
   double cold_rate = 0;  // Requests per second that all senders together may send a cold runner. 0: no limit.
@@ -57,6 +59,7 @@
   ZoneId zone;
   std::uint32_t slots = 4;  // The number of requests that it executes at the same time.
   bool leaving = false;     // It is being removed and gets no new work.
+
   // Counts the starts of the runner's process, as stated by whoever declares the runner. A higher generation means a
   // new process, which is cold again.
   std::uint64_t generation = 0;
@@ -92,6 +95,7 @@
   std::uint32_t attempts = 0;     // The most runners that one request may be sent to. 0 means retries + 1.
   std::uint32_t rank = 0;         // The priority; rank 0 is served first.
   bool affinity = false;          // Requests go to the runner that has cached the beginning of their prompt.
+
   // A response counts in full if its first chunk, or all of it where it does not stream, comes within this time of the
   // request. 0 means that there is no such target.
   Duration aim{};
@@ -165,9 +169,11 @@
   // failure, in which it gets less than its full share of requests.
   std::vector<RunnerId> warm;
   std::vector<RunnerId> dark;  // Unreachable runners. They are not members and get no items of lots.
+
   // The members' generations. A member that has another generation in the configuration was restarted and is cold.
   std::map<std::string, std::uint64_t> generations;
   std::map<std::string, std::uint64_t> ramps;  // A counter per member that rises each time its ramp starts again.
+
   // The placers of the runners outside the circle, and of the members that also execute items of lots.
   std::map<std::string, Placer> placers;
   std::uint64_t term = 0;     // The highest term given to a placer so far.
@@ -191,6 +197,7 @@
   Address address;
   ZoneId zone;
   std::string name = {};  // The name of the machine, where operators give one.
+
   // A joining node votes but may still lack records. It owns slots only where no other voter can.
   bool joining = false;
   auto operator<=>(const Voter&) const = default;
@@ -268,6 +275,7 @@
   CallerLimits limits;
   Stamp listing;             // The stamp of the runner list in use.
   std::uint64_t digest = 0;  // A hash of all keys and stamps; views with the same content have the same digest.
+
   // The roster whose voters store the key.
   const Roster& roster_of(StringView key) const {
     return key.starts_with("lot/") && !lot_roster.seats.empty() ? lot_roster : roster;
@@ -278,6 +286,7 @@
   // null.
   const Lane* lane_for(StringView path, std::string* name, StringView host = {}) const;
   std::set<std::string> listed;  // The names of the runners that come from the external runner list.
+
   // The names of the lanes and kinds that come from the fleet configuration document.
   std::set<std::string> configured_lanes, configured_kinds;
   LotSettings lot_settings() const;
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -19,6 +19,7 @@
   json::value body;
   bool retry_after = false;          // The response states when the client may try again (Retry-After).
   std::vector<Header> headers = {};  // Headers beside those that the HTTP server sets.
+
   // Replaces the body where that is not JSON, or was not made by this program.
   std::optional<Bytes> raw = {};
 };
