--- a/source/configuration/resources.hpp
+++ b/source/configuration/resources.hpp
@@ -6,8 +6,9 @@
 // for example a language model engine. Daemons accept client requests and forward them to runners. Requests come either
 // live, with a client waiting for the response, or as items of a lot: a lot is a stored batch of requests, and an item
 // is one request of it. A live request is also called a prompt. Some daemons are storage nodes: they have a data folder
-// and replicate the configuration and the lots among themselves. Some daemons are control daemons: they accept
-// operators' calls and hold the sessions of the other daemons.
+// and replicate the control state (the records in this header), the lots, or both among themselves. The storage nodes
+// that keep control state are the control daemons. They hold the sessions of the other daemons, and grant the leases
+// under which these serve requests.
 #pragma once
 #include "coding/json.hpp"
 #include "mothwalk.hpp"
@@ -125,8 +126,8 @@
   MOTHWALK_FIELDS(evacuated)
 };
 
-// Limits for lots. A lot is a batch of requests, called items. Storage nodes store it, have its items executed by
-// runners, and store the results until the client has read them or the retention time is over.
+// Limits for lots. A lot is a batch of requests, called items. Storage nodes store it together with the results, and
+// daemons dispatch its items to runners.
 struct LotSettings {
   std::uint32_t items = 1000;                     // The most items in one lot.
   std::uint32_t lots = 4096;                      // The most lots in the slots of one storage node at a time.
@@ -249,7 +250,7 @@
 };
 
 // A resource with its stamp. A stamp is the pair (epoch, version) that orders all writes of one key: the epoch rises
-// with each change of the owner of the key's slot, and the version with each write.
+// with each change of the owner of the key's slot, and the version with each write under one epoch.
 template <class T>
 struct Named {
   Stamp stamp;
