--- a/source/replication/founding.cpp
+++ b/source/replication/founding.cpp
@@ -1,4 +1,4 @@
-// Taking reports and giving the one word.
+// Handlers of candidate reports and vote requests.
 #include "replication/founding.hpp"
 
 namespace mothwalk {
@@ -6,22 +6,22 @@
 Founding::Founding(Messenger& messenger, SharedState& shared_state, bool first_start)
     : shared_state_(shared_state), first_start_(first_start) {
   messenger.on_request<ReportCandidate>(
-      [this](const Address& from, ReportCandidate report, ReplyCallback<ReportReply> answer) {
+      [this](const Address& from, ReportCandidate report, ReplyCallback<ReportReply> respond) {
         if (first_start_ && report.candidate.address == from && !report.candidate.holder.empty()) {
-          // A machine that came back empty under its address is another candidate; the one before is no more.
+          // A machine that comes back with an empty data folder is a new candidate and replaces the former one.
           std::erase_if(candidates_, [&](const auto& each) {
             return each.second.address == from && each.first != report.candidate.holder;
           });
           candidates_[report.candidate.holder] = report.candidate;
         }
-        ReportReply reply{first_start_, known(), {}, word_};
-        for (const auto& [holder, seat] : candidates_) reply.candidates.push_back(seat);
-        answer(std::move(reply));
+        ReportReply reply{first_start_, known(), {}, vote_};
+        for (const auto& [node, voter] : candidates_) reply.candidates.push_back(voter);
+        respond(std::move(reply));
       });
-  messenger.on_request<AskWord>([this](const Address&, AskWord ask, ReplyCallback<WordReply> answer) {
-    const bool mine = first_start_ && !ask.roster.seats.empty() && (!word_.seats.empty() || !known());
-    if (mine && word_.seats.empty()) word_ = std::move(ask.roster);
-    answer(WordReply{mine, word_});
+  messenger.on_request<AskWord>([this](const Address&, AskWord request, ReplyCallback<WordReply> respond) {
+    const bool granted = first_start_ && !request.roster.seats.empty() && (!vote_.seats.empty() || !known());
+    if (granted && vote_.seats.empty()) vote_ = std::move(request.roster);
+    respond(WordReply{granted, vote_});
   });
 }
 
--- a/source/replication/founding.hpp
+++ b/source/replication/founding.hpp
@@ -1,7 +1,7 @@
-// The word of the seeds at the very first start. The seeds are any daemons that serve control, with a disk or without:
-// the holders of control state report to them, and one roster is founded with the word of all three. A seed gives its
-// word to one roster in its life, and only in the first life of its process: a later one neither founds nor gives its
-// word, so memory is enough for it.
+// Bootstrap of a new fleet, the seeds' side. The seeds are daemons that serve the control API, with or without a disk.
+// The storage nodes of control state report to them as candidates, and the first roster needs the votes of all three
+// seeds. A seed votes for one roster only, and only if its process has not been restarted since the fleet's first
+// start; a restarted seed never votes, so votes need not be stored on disk.
 #pragma once
 #include "sessions/messenger.hpp"
 #include "sessions/shared_state.hpp"
@@ -9,13 +9,13 @@
 namespace mothwalk {
 
 struct ReportReply {
-  bool first_start = false;  // a daemon started again never gives its word
-  bool known = false;        // it knows of a roster that stands
+  bool first_start = false;  // False if the daemon was restarted; then it never votes.
+  bool known = false;        // The seed knows an existing roster.
   std::vector<Voter> candidates;
-  Roster word;  // the roster that it gave its word for, if any
-  MOTHWALK_FIELDS(first_start, known, candidates, word)
+  Roster vote;  // The roster that the seed has voted for, if any.
+  MOTHWALK_FIELDS_AS("first_start", first_start, "known", known, "candidates", candidates, "word", vote)
 };
-// A holder of control state with an empty folder offers itself.
+// Reports a storage node of control state with an empty data folder as a candidate.
 struct ReportCandidate {
   static constexpr StringView kind = "founding.report";
   using Reply = ReportReply;
@@ -23,10 +23,11 @@
   MOTHWALK_FIELDS(candidate)
 };
 struct WordReply {
-  bool given = false;
-  Roster roster;  // the one that the word stands for: an earlier one where there is one
-  MOTHWALK_FIELDS(given, roster)
+  bool granted = false;
+  Roster roster;  // The roster that the seed has voted for, now or earlier.
+  MOTHWALK_FIELDS_AS("given", granted, "roster", roster)
 };
+// Asks a seed to vote for a roster.
 struct AskWord {
   static constexpr StringView kind = "founding.word";
   using Reply = WordReply;
@@ -34,6 +35,7 @@
   MOTHWALK_FIELDS(roster)
 };
 
+// The state of a seed: the candidates that have reported and the vote that it has given.
 class Founding {
  public:
   Founding(Messenger& messenger, SharedState& shared_state, bool first_start);
@@ -43,7 +45,7 @@
   SharedState& shared_state_;
   bool first_start_;
   std::map<StorageNodeId, Voter> candidates_;
-  Roster word_;
+  Roster vote_;
 };
 
 }  // namespace mothwalk
--- a/source/replication/log_files.cpp
+++ b/source/replication/log_files.cpp
@@ -1,4 +1,4 @@
-// The steps of each order.
+// The steps of each disk order.
 #include "replication/log_files.hpp"
 
 namespace mothwalk {
@@ -8,7 +8,8 @@
 }  // namespace
 
 bool LogFiles::open() {
-  // Of a rewrite that the process's end cut off. It is of no use, and takes room that appends need.
+  // A next file is left over from a compaction that ended with its process. It is useless and takes room that appends
+  // need.
   if (volume_.exists(next_file)) volume_.remove(next_file);
   if (!volume_.open(current_file)) return false;
   failed_ = !volume_.sync(current_file) || !volume_.sync_folder();
@@ -27,13 +28,13 @@
     const DiskOrder& order = orders[index];
     switch (order.kind) {
       case DiskOrder::Kind::append:
-        index = append_run(orders, index, results);
+        index = append_batch(orders, index, results);
         continue;
       case DiskOrder::Kind::cut:
-        results.push_back(cut(order.size));
+        results.push_back(truncate(order.size));
         break;
       case DiskOrder::Kind::begin_next:
-        results.push_back(begin_next());
+        results.push_back(create_next());
         break;
       case DiskOrder::Kind::write_next:
         results.push_back(write_next(order.bytes));
@@ -50,11 +51,11 @@
   return results;
 }
 
-std::size_t LogFiles::append_run(const std::deque<DiskOrder>& orders, std::size_t first, std::vector<bool>& results) {
-  Bytes gathered;
+std::size_t LogFiles::append_batch(const std::deque<DiskOrder>& orders, std::size_t first, std::vector<bool>& results) {
+  Bytes combined;
   std::size_t end = first;
-  for (; end < orders.size() && orders[end].kind == DiskOrder::Kind::append; ++end) gathered += orders[end].bytes;
-  results.insert(results.end(), end - first, append(gathered));
+  for (; end < orders.size() && orders[end].kind == DiskOrder::Kind::append; ++end) combined += orders[end].bytes;
+  results.insert(results.end(), end - first, append(combined));
   return end;
 }
 
@@ -64,43 +65,43 @@
     synced_ += bytes.size();
     return true;
   }
-  // The bytes may be on the disk, in part, or only in memory: a later start must not read them as if they were safe.
+  // The bytes may be on disk completely, in part, or only in memory. A later start must not read them as durable.
   failed_ = true;
   volume_.cut(current_file, synced_);
   return false;
 }
 
-bool LogFiles::cut(std::size_t size) {
+bool LogFiles::truncate(std::size_t size) {
   failed_ = failed_ || !volume_.cut(current_file, size);
   if (!failed_) synced_ = size;
   return !failed_;
 }
 
-bool LogFiles::begin_next() {
+bool LogFiles::create_next() {
   next_size_ = 0;
-  next_good_ = volume_.create(next_file);
-  return next_good_;
+  next_valid_ = volume_.create(next_file);
+  return next_valid_;
 }
 
 bool LogFiles::write_next(StringView bytes) {
-  if (!next_good_) return false;
-  next_good_ = volume_.write(next_file, bytes) && volume_.sync(next_file);
+  if (!next_valid_) return false;
+  next_valid_ = volume_.write(next_file, bytes) && volume_.sync(next_file);
   next_size_ += bytes.size();
-  if (!next_good_) volume_.remove(next_file);
-  return next_good_;
+  if (!next_valid_) volume_.remove(next_file);
+  return next_valid_;
 }
 
 bool LogFiles::switch_to_next() {
-  if (!next_good_) return false;
-  next_good_ = false;
-  // From the rename on it is not known which of the two files a loss of power leaves, until the folder is synced.
+  if (!next_valid_) return false;
+  next_valid_ = false;
+  // After the rename and until the folder is synced, either of the two files may be there after a power failure.
   failed_ = !volume_.rename(next_file, current_file) || !volume_.sync_folder();
   if (!failed_) synced_ = next_size_;
   return !failed_;
 }
 
 bool LogFiles::drop_next() {
-  next_good_ = false;
+  next_valid_ = false;
   return volume_.remove(next_file);
 }
 
--- a/source/replication/record_file.cpp
+++ b/source/replication/record_file.cpp
@@ -1,5 +1,6 @@
-// Framing: a mark, the payload's length, the synced length, a CRC-32 over both and the payload, then the payload. Files
-// of earlier versions have frames without a synced length, each of which stands for all bytes before it.
+// A frame has a magic number, the payload's length, the synced length, a CRC-32 over both lengths and the payload, and
+// the payload. Files of earlier versions have frames without a synced length; such a frame implies that all bytes
+// before it had been synced.
 #include "replication/record_file.hpp"
 
 #include <boost/crc.hpp>
@@ -7,8 +8,8 @@
 namespace mothwalk {
 namespace {
 
-constexpr StringView mark = "MWK2", earlier_mark = "MWK1";
-constexpr std::size_t length_at = 4, length_size = 4, synced_size = 8, checksum_size = 4;
+constexpr StringView magic = "MWK2", magic_without_synced = "MWK1";
+constexpr std::size_t length_offset = 4, length_size = 4, synced_size = 8, checksum_size = 4;
 
 void put_number(Bytes& out, std::uint64_t value, std::size_t size) {
   for (std::size_t index = 0; index < size; ++index) out.push_back(static_cast<char>((value >> (8 * index)) & 255));
@@ -29,36 +30,36 @@
 }
 
 struct Frame {
-  std::size_t size = 0;  // of the whole frame, in bytes
+  std::size_t size = 0;  // Of the complete frame, in bytes.
   std::uint64_t synced = 0;
   StringView payload;
 };
 
 std::optional<Frame> frame_at(StringView bytes, std::size_t at) {
   const StringView rest = bytes.substr(at);
-  const bool earlier = rest.starts_with(earlier_mark);
-  if (!earlier && !rest.starts_with(mark)) return std::nullopt;
-  const std::size_t lengths = length_size + (earlier ? 0 : synced_size);
-  const std::size_t head = length_at + lengths + checksum_size;
-  if (rest.size() < head) return std::nullopt;
-  const std::size_t length = get_number(rest, length_at, length_size);
-  if (rest.size() - head < length) return std::nullopt;
+  const bool without_synced = rest.starts_with(magic_without_synced);
+  if (!without_synced && !rest.starts_with(magic)) return std::nullopt;
+  const std::size_t lengths = length_size + (without_synced ? 0 : synced_size);
+  const std::size_t header_size = length_offset + lengths + checksum_size;
+  if (rest.size() < header_size) return std::nullopt;
+  const std::size_t length = get_number(rest, length_offset, length_size);
+  if (rest.size() - header_size < length) return std::nullopt;
   Frame frame;
-  frame.size = head + length;
-  frame.synced = earlier ? at : get_number(rest, length_at + length_size, synced_size);
-  frame.payload = rest.substr(head, length);
-  const std::uint64_t stated = get_number(rest, length_at + lengths, checksum_size);
-  if (checksum(rest.substr(length_at, lengths), frame.payload) != stated) return std::nullopt;
+  frame.size = header_size + length;
+  frame.synced = without_synced ? at : get_number(rest, length_offset + length_size, synced_size);
+  frame.payload = rest.substr(header_size, length);
+  const std::uint64_t stated = get_number(rest, length_offset + lengths, checksum_size);
+  if (checksum(rest.substr(length_offset, lengths), frame.payload) != stated) return std::nullopt;
   return frame;
 }
 
-// Whether a sound frame behind the broken place states that the place had been synced.
-bool synced_beyond(StringView bytes, std::size_t broken) {
-  const StringView shared_part = mark.substr(0, 3);
-  for (std::size_t next = bytes.find(shared_part, broken + 1); next != StringView::npos;
-       next = bytes.find(shared_part, next + 1)) {
+// Whether a valid frame after an invalid one states that the place of the invalid one had been synced.
+bool synced_beyond(StringView bytes, std::size_t invalid_at) {
+  const StringView common_prefix = magic.substr(0, 3);
+  for (std::size_t next = bytes.find(common_prefix, invalid_at + 1); next != StringView::npos;
+       next = bytes.find(common_prefix, next + 1)) {
     const auto frame = frame_at(bytes, next);
-    if (frame && frame->synced > broken) return true;
+    if (frame && frame->synced > invalid_at) return true;
   }
   return false;
 }
@@ -69,7 +70,7 @@
   Bytes lengths;
   put_number(lengths, payload.size(), length_size);
   put_number(lengths, synced, synced_size);
-  Bytes frame(mark);
+  Bytes frame(magic);
   frame += lengths;
   put_number(frame, checksum(lengths, payload), checksum_size);
   return frame.append(payload);
--- a/source/replication/record_log.cpp
+++ b/source/replication/record_log.cpp
@@ -1,4 +1,4 @@
-// Appending, and the steps of a rewrite.
+// Appending entries, and the steps of a compaction.
 #include "replication/record_log.hpp"
 
 #include <algorithm>
@@ -6,21 +6,22 @@
 namespace mothwalk {
 
 namespace {
-constexpr std::size_t rewrite_floor = 8u << 20;           // bytes: shorter files are left alone
-constexpr std::size_t rewrite_growth = 3;                 // times the size after the last rewrite
-constexpr std::size_t least_gain = 8;                     // an eighth of what is held, for a rewrite on a short disk
-constexpr std::size_t piece_size = 1u << 20;              // of one write to the next file
-constexpr std::size_t least_reserve = 4u << 20;           // bytes kept free for changes of what is held
-constexpr Duration stall_span = std::chrono::seconds(1);  // an unanswered order that is older means a stalled disk
+constexpr std::size_t compaction_min_bytes = 8u << 20;  // Shorter files are not compacted.
+constexpr std::size_t compaction_growth_factor = 3;  // The growth since the last compaction that starts the next one.
+constexpr std::size_t min_gain_divisor = 8;  // With little room left, compaction has to free 1/8 of the live data.
+constexpr std::size_t max_chunk_bytes = 1u << 20;            // Of one write to the next file.
+constexpr std::size_t min_reserve_bytes = 4u << 20;          // Kept free for changes of existing records.
+constexpr Duration stall_timeout = std::chrono::seconds(1);  // A disk order pending for longer means a stalled disk.
 constexpr Duration retry_pause = std::chrono::seconds(1);
-constexpr Duration abandoned_pause = std::chrono::seconds(5);  // the room that was short is hardly there at once
+// After a compaction was abandoned for lack of room, which is unlikely to become free at once.
+constexpr Duration abandoned_compaction_pause = std::chrono::seconds(5);
 
-// Bytes of the limit that new state may not take.
+// The bytes of the limit that are not available to new records.
 std::size_t reserve_of(std::size_t limit) {
-  return std::max(least_reserve, limit / 8);
+  return std::max(min_reserve_bytes, limit / 8);
 }
 
-bool belongs_to_slot(const DiskEntry& entry) {
+bool is_slot_entry(const DiskEntry& entry) {
   return entry.what != "identity" && entry.what != "roster";
 }
 }  // namespace
@@ -38,164 +39,166 @@
 
 void RecordLog::start(const ReadFile& file) {
   size_ = synced_ = file.sound_bytes;
-  base_ = contents_.size();
+  size_after_compaction_ = contents_.total_bytes();
   failed_ = file.damaged;
-  if (failed_) return begin_rewrite();
+  if (failed_) return begin_compaction();
   if (!file.torn) return;
-  DiskOrder cut{DiskOrder::Kind::cut, {}, file.sound_bytes, [this](bool good) {
-                  failed_ = failed_ || !good;
-                }};
-  disk_.order(std::move(cut));
+  DiskOrder truncation{DiskOrder::Kind::cut, {}, file.sound_bytes, [this](bool succeeded) {
+                         failed_ = failed_ || !succeeded;
+                       }};
+  disk_.order(std::move(truncation));
 }
 
-void RecordLog::order(DiskOrder::Kind kind, Bytes bytes, std::function<void(bool)> done) {
+void RecordLog::submit(DiskOrder::Kind kind, Bytes bytes, std::function<void(bool)> done) {
   outstanding_.push_back(timers_.now());
-  disk_.order(DiskOrder{kind, std::move(bytes), 0, [this, done = std::move(done)](bool good) {
+  disk_.order(DiskOrder{kind, std::move(bytes), 0, [this, done = std::move(done)](bool succeeded) {
                           outstanding_.pop_front();
-                          done(good);
+                          done(succeeded);
                         }});
 }
 
 void RecordLog::append(const DiskEntry& entry, std::function<void()> then) {
-  if (phase_ == Phase::writing && (!belongs_to_slot(entry) || entry.slot < next_slot_)) queue_next(entry);
+  if (phase_ == Phase::writing && (!is_slot_entry(entry) || entry.slot < next_slot_)) queue_for_next(entry);
   ++appends_;
-  Bytes frame = frame_entry(entry, mark());
-  abandon_rewrite(frame.size());
+  Bytes frame = frame_entry(entry, synced_length_for_frame());
+  abandon_compaction_if_full(frame.size());
   size_ += frame.size();
-  order_append(std::move(frame), std::move(then));
+  submit_append(std::move(frame), std::move(then));
 }
 
 void RecordLog::when_synced(std::function<void()> then) {
-  order_append({}, std::move(then));
+  submit_append({}, std::move(then));
 }
 
-void RecordLog::order_append(Bytes frame, std::function<void()> then) {
+void RecordLog::submit_append(Bytes frame, std::function<void()> then) {
   const std::size_t size = frame.size();
-  order(DiskOrder::Kind::append, std::move(frame), [this, size, then = std::move(then)](bool good) {
-    failed_ = failed_ || !good;
-    if (!good) return;
+  submit(DiskOrder::Kind::append, std::move(frame), [this, size, then = std::move(then)](bool succeeded) {
+    failed_ = failed_ || !succeeded;
+    if (!succeeded) return;
     synced_ += size;
     then();
   });
 }
 
 bool RecordLog::stalled() const {
-  return failed_ || (!outstanding_.empty() && timers_.now() - outstanding_.front() > stall_span);
+  return failed_ || (!outstanding_.empty() && timers_.now() - outstanding_.front() > stall_timeout);
 }
 
-bool RecordLog::takes(std::size_t size) const {
+bool RecordLog::has_room_for_entry(std::size_t size) const {
   return limit_ == 0 || size_ + size + reserve_of(limit_) / 8 < limit_;
 }
 
 bool RecordLog::has_room(std::size_t growth) const {
   if (failed_) return false;
   if (limit_ == 0) return true;
-  // A rewrite needs room for a second file of all records, and both have to grow meanwhile.
+  // A compaction needs room for a second file with all records, and both files have to be able to grow meanwhile.
   const std::size_t reserve = reserve_of(limit_);
-  const std::size_t held = contents_.size();
-  return 2 * held + reserve < limit_ && size_ + held + reserve / 2 < limit_ && size_ + growth + reserve / 2 < limit_;
+  const std::size_t live_bytes = contents_.total_bytes();
+  return 2 * live_bytes + reserve < limit_ && size_ + live_bytes + reserve / 2 < limit_ &&
+         size_ + growth + reserve / 2 < limit_;
 }
 
-bool RecordLog::rewrite_due() const {
-  if (failed_) return timers_.now() >= rewrite_not_before_;
-  if (!rewrite_fits() || timers_.now() < rewrite_not_before_) return false;
-  const std::size_t held = contents_.size();
-  const bool last_chance = limit_ > 0 && size_ + held + reserve_of(limit_) >= limit_;
-  if (last_chance && size_ > held + held / least_gain) return true;
-  return size_ >= rewrite_floor && size_ >= rewrite_growth * std::max(base_, held);
+bool RecordLog::compaction_due() const {
+  if (failed_) return timers_.now() >= compaction_not_before_;
+  if (!compaction_fits() || timers_.now() < compaction_not_before_) return false;
+  const std::size_t live_bytes = contents_.total_bytes();
+  const bool last_chance = limit_ > 0 && size_ + live_bytes + reserve_of(limit_) >= limit_;
+  if (last_chance && size_ > live_bytes + live_bytes / min_gain_divisor) return true;
+  return size_ >= compaction_min_bytes &&
+         size_ >= compaction_growth_factor * std::max(size_after_compaction_, live_bytes);
 }
 
-bool RecordLog::rewrite_fits() const {
-  return limit_ == 0 || size_ + contents_.size() + reserve_of(limit_) / 8 < limit_;
+bool RecordLog::compaction_fits() const {
+  return limit_ == 0 || size_ + contents_.total_bytes() + reserve_of(limit_) / 8 < limit_;
 }
 
-bool RecordLog::abandon_rewrite(std::size_t more) {
+bool RecordLog::abandon_compaction_if_full(std::size_t more) {
   const bool fits = limit_ == 0 || size_ + next_size_ + more + reserve_of(limit_) / 16 < limit_;
-  // A file that failed takes nothing: only a next one brings the disk back.
+  // After a failed append the file accepts nothing more, and only a new file makes the disk usable again.
   if (phase_ != Phase::writing || failed_ || fits) return false;
   phase_ = Phase::dropping;
-  order(DiskOrder::Kind::drop_next, {}, [this](bool) {
-    end_rewrite(false);
-    rewrite_not_before_ = timers_.now() + abandoned_pause;
+  submit(DiskOrder::Kind::drop_next, {}, [this](bool) {
+    finish_compaction(false);
+    compaction_not_before_ = timers_.now() + abandoned_compaction_pause;
   });
   return true;
 }
 
 void RecordLog::tick() {
-  if (phase_ == Phase::idle && rewrite_due()) begin_rewrite();
+  if (phase_ == Phase::idle && compaction_due()) begin_compaction();
 }
 
-void RecordLog::begin_rewrite() {
+void RecordLog::begin_compaction() {
   phase_ = Phase::writing;
   next_slot_ = 0;
-  next_frames_.clear();
+  pending_frames_.clear();
   next_size_ = next_synced_ = 0;
-  for (const auto& entry : contents_.head()) queue_next(entry);
-  order(DiskOrder::Kind::begin_next, {}, [this](bool good) {
+  for (const auto& entry : contents_.header()) queue_for_next(entry);
+  submit(DiskOrder::Kind::begin_next, {}, [this](bool succeeded) {
     if (phase_ != Phase::writing) return;
-    good ? next_piece() : end_rewrite(false);
+    succeeded ? write_next_chunk() : finish_compaction(false);
   });
 }
 
-void RecordLog::queue_next(const DiskEntry& entry) {
-  next_frames_.push_back(frame_entry(entry, next_synced_));
+void RecordLog::queue_for_next(const DiskEntry& entry) {
+  pending_frames_.push_back(frame_entry(entry, next_synced_));
 }
 
-// One piece at a time: what is ordered meanwhile goes between.
-void RecordLog::next_piece() {
-  if (next_frames_.empty() && next_slot_ < slot_count)
-    for (const auto& entry : contents_.slot(next_slot_++)) queue_next(entry);
-  Bytes piece;
-  while (!next_frames_.empty() && piece.size() + next_frames_.front().size() <= piece_size) {
-    piece += next_frames_.front();
-    next_frames_.pop_front();
+// Writes one chunk at a time, so that appends submitted meanwhile are executed between the chunks.
+void RecordLog::write_next_chunk() {
+  if (pending_frames_.empty() && next_slot_ < slot_count)
+    for (const auto& entry : contents_.slot_entries(next_slot_++)) queue_for_next(entry);
+  Bytes chunk;
+  while (!pending_frames_.empty() && chunk.size() + pending_frames_.front().size() <= max_chunk_bytes) {
+    chunk += pending_frames_.front();
+    pending_frames_.pop_front();
   }
-  if (piece.empty() && !next_frames_.empty()) {
-    piece = std::move(next_frames_.front());
-    next_frames_.pop_front();
+  if (chunk.empty() && !pending_frames_.empty()) {
+    chunk = std::move(pending_frames_.front());
+    pending_frames_.pop_front();
   }
-  const bool last = next_frames_.empty() && next_slot_ == slot_count;
-  if (abandon_rewrite(piece.size())) return;
-  order_piece(std::move(piece));
-  if (last) order_switch();
+  const bool last = pending_frames_.empty() && next_slot_ == slot_count;
+  if (abandon_compaction_if_full(chunk.size())) return;
+  submit_chunk(std::move(chunk));
+  if (last) submit_switch();
 }
 
-void RecordLog::order_piece(Bytes piece) {
-  const std::size_t size = piece.size();
+void RecordLog::submit_chunk(Bytes chunk) {
+  const std::size_t size = chunk.size();
   next_size_ += size;
-  order(DiskOrder::Kind::write_next, std::move(piece), [this, size](bool good) {
+  submit(DiskOrder::Kind::write_next, std::move(chunk), [this, size](bool succeeded) {
     next_synced_ += size;
     if (phase_ != Phase::writing) return;
-    good ? next_piece() : end_rewrite(false);
+    succeeded ? write_next_chunk() : finish_compaction(false);
   });
 }
 
-// Appends that are ordered from here on go to the next file, since orders are executed in turn; but to the present one
-// if the switch can't be made. Until that is known their frames claim nothing to be synced.
-void RecordLog::order_switch() {
+// Disk orders are executed in turn, so appends submitted from now on go to the next file, or to the current one if the
+// switch fails. Until the outcome is known, their frames state a synced length of zero.
+void RecordLog::submit_switch() {
   phase_ = Phase::switching;
   const std::size_t before = size_;
   size_ = next_size_;
-  order(DiskOrder::Kind::switch_to_next, {}, [this, before](bool good) {
-    if (good)
-      synced_ = base_ = next_size_;
+  submit(DiskOrder::Kind::switch_to_next, {}, [this, before](bool succeeded) {
+    if (succeeded)
+      synced_ = size_after_compaction_ = next_size_;
     else
       size_ += before - next_size_;
-    end_rewrite(good);
+    finish_compaction(succeeded);
   });
 }
 
-void RecordLog::end_rewrite(bool good) {
+void RecordLog::finish_compaction(bool succeeded) {
   phase_ = Phase::idle;
-  next_frames_.clear();
+  pending_frames_.clear();
   next_size_ = 0;
-  if (good) {
-    ++rewrites_;
+  if (succeeded) {
+    ++compactions_;
     failed_ = false;
     return;
   }
-  // The file goes on as it was if its appends succeed; if the switch itself failed, they don't.
-  rewrite_not_before_ = timers_.now() + retry_pause;
+  // The current file stays in use if its appends still succeed. If the switch itself failed, they do not.
+  compaction_not_before_ = timers_.now() + retry_pause;
 }
 
 }  // namespace mothwalk
--- a/source/replication/record_log.hpp
+++ b/source/replication/record_log.hpp
@@ -1,7 +1,8 @@
-// The record file of a replica: appends to it, and its rewriting in pieces. A rewrite goes on beside the appends: the
-// next file gets the slots one after the other, in pieces of bounded size, and each entry of a slot that it has
-// already. When it has all, it takes the file's place. A file whose append failed is not trusted again: nothing is said
-// to be safe until a next file, written from memory, has taken its place.
+// The write-ahead log of a storage node: appends entries to the record file and compacts it. Compaction runs beside the
+// appends: it writes the current records to a next file, slot by slot, in chunks of bounded size, followed by new
+// entries of slots that it has already written. When it has written all slots, the next file replaces the current one.
+// After a failed append, the current file is no longer trusted: nothing is reported as durable until a compaction has
+// replaced it.
 #pragma once
 #include <deque>
 
@@ -12,70 +13,71 @@
 
 class RecordLog {
  public:
-  // What memory holds, as entries that bring it back.
+  // Produces the entries that reproduce the current state in memory.
   struct Contents {
-    std::function<std::vector<DiskEntry>()> head;                    // identity and roster
-    std::function<std::vector<DiskEntry>(std::uint32_t slot)> slot;  // each of about longest_message at most
-    std::function<std::size_t()> size;                               // of all records, in bytes
+    std::function<std::vector<DiskEntry>()> header;                          // The identity and the roster.
+    std::function<std::vector<DiskEntry>(std::uint32_t slot)> slot_entries;  // Each of about max_message_bytes at most.
+    std::function<std::size_t()> total_bytes;                                // The size of all records.
   };
-  // `limit` is the room on the disk in bytes; zero where it is not known.
+  // `limit` is the room on the disk in bytes; zero if it is unknown.
   RecordLog(Disk& disk, Timers& timers, Contents contents, std::size_t limit);
 
-  // The entries of the file. A damaged one gives none, and is to be rewritten from what memory then holds.
+  // Reads the file. If it is damaged, the result has no entries, and the file has to be replaced by a compaction.
   Result<ReadFile> load();
-  // Before the first append: cuts a torn tail, or begins to rewrite a damaged file.
+  // To be called before the first append: truncates an incomplete last entry, or starts to replace a damaged file.
   void start(const ReadFile& file);
-  // `then` is called when the entry and all before it are safe, and never where they are not.
+  // Calls `then` when the entry and all before it are durable; never if writing fails.
   void append(const DiskEntry& entry, std::function<void()> then);
+  // Calls `then` when all entries appended so far are durable.
   void when_synced(std::function<void()> then);
-  // Ten times a second: begins a rewrite when the file has grown long or failed.
+  // To be called ten times a second: starts a compaction if the file has grown long or has failed.
   void tick();
 
   bool failed() const { return failed_; }
-  // Whether nothing can be made safe now: an append failed, or the disk has not answered for a second.
+  // Whether nothing can be made durable at present: an append failed, or the disk has not responded for a second.
   bool stalled() const;
-  // Whether new state may be taken in, where what is kept is going to grow by so many bytes; what is kept already may
-  // be changed and removed meanwhile.
+  // Whether new records are accepted if the stored state is going to grow by `growth` bytes. Existing records can be
+  // changed and removed even if this is false.
   bool has_room(std::size_t growth = 0) const;
-  // Whether an entry of about that size leaves room for what keeps the holder in its place: promises, hand-overs,
-  // rosters.
-  bool takes(std::size_t size) const;
+  // Whether an entry of about this size leaves room for the entries that the node needs to stay in operation: promises,
+  // takeovers and rosters.
+  bool has_room_for_entry(std::size_t size) const;
   std::uint64_t appends() const { return appends_; }
-  std::uint64_t rewrites() const { return rewrites_; }
+  std::uint64_t compactions() const { return compactions_; }
   std::size_t file_size() const { return size_; }
 
  private:
   enum class Phase { idle, writing, switching, dropping };
-  std::uint64_t mark() const { return phase_ == Phase::switching ? 0 : synced_; }
-  void order_append(Bytes frame, std::function<void()> then);
-  bool rewrite_due() const;
-  // Whether the disk takes a second file of all that is held, and its growth meanwhile.
-  bool rewrite_fits() const;
-  // Leaves the file as it is where the next file would fill the disk: appends must never fail for a rewrite's sake.
-  bool abandon_rewrite(std::size_t more);
-  void begin_rewrite();
-  void next_piece();
-  void order_piece(Bytes piece);
-  void order_switch();
-  void end_rewrite(bool good);
-  void queue_next(const DiskEntry& entry);
-  void order(DiskOrder::Kind kind, Bytes bytes, std::function<void(bool)> done);
+  std::uint64_t synced_length_for_frame() const { return phase_ == Phase::switching ? 0 : synced_; }
+  void submit_append(Bytes frame, std::function<void()> then);
+  bool compaction_due() const;
+  // Whether the disk has room for a second file with all records and for its growth during the compaction.
+  bool compaction_fits() const;
+  // Abandons the compaction if the next file would fill the disk: a compaction must never make an append fail.
+  bool abandon_compaction_if_full(std::size_t more);
+  void begin_compaction();
+  void write_next_chunk();
+  void submit_chunk(Bytes chunk);
+  void submit_switch();
+  void finish_compaction(bool succeeded);
+  void queue_for_next(const DiskEntry& entry);
+  void submit(DiskOrder::Kind kind, Bytes bytes, std::function<void(bool)> done);
 
   Disk& disk_;
   Timers& timers_;
   Contents contents_;
   std::size_t limit_;
-  std::size_t size_ = 0, synced_ = 0;  // of the file in bytes, and how many of them are safe
-  std::size_t base_ = 0;               // size after the last rewrite
-  std::deque<TimePoint> outstanding_;  // when each order that was not answered was given
-  std::uint64_t appends_ = 0, rewrites_ = 0;
+  std::size_t size_ = 0, synced_ = 0;  // The bytes of the file, and how many of them are synced.
+  std::size_t size_after_compaction_ = 0;
+  std::deque<TimePoint> outstanding_;  // When each pending disk order was submitted.
+  std::uint64_t appends_ = 0, compactions_ = 0;
   bool failed_ = false;
 
   Phase phase_ = Phase::idle;
-  std::uint32_t next_slot_ = 0;  // the next file has those before it
-  std::deque<Bytes> next_frames_;
+  std::uint32_t next_slot_ = 0;  // The next file has the slots before this one.
+  std::deque<Bytes> pending_frames_;
   std::size_t next_size_ = 0, next_synced_ = 0;
-  TimePoint rewrite_not_before_;
+  TimePoint compaction_not_before_;
 };
 
 }  // namespace mothwalk
--- a/source/replication/repair.cpp
+++ b/source/replication/repair.cpp
@@ -1,4 +1,5 @@
-// Repair: digests of slots are compared with another replica, and what is newer under the promised epoch is copied.
+// Anti-entropy repair: a replica compares the digests of its slots with those of a random other voter and copies
+// records that are newer there under the promised epoch.
 #include <algorithm>
 
 #include "replication/replicated_store.hpp"
@@ -8,15 +9,16 @@
 
 void ReplicatedStore::repair() {
   std::vector<Voter> others;
-  for (const auto& seat : roster_.seats)
-    if (seat.holder != identity_) others.push_back(seat);
+  for (const auto& voter : roster_.seats)
+    if (voter.holder != identity_) others.push_back(voter);
   if (others.empty()) return;
   const Voter peer = others[random_.below(others.size())];
   messenger_.request(peer.address, Digests{}, peer_timeout, [this, peer](Result<DigestsReply> result) {
     auto* reply = std::get_if<DigestsReply>(&result);
     if (reply == nullptr || reply->digests.size() != slot_count) return;
     for (std::uint32_t slot = 0; slot < slot_count; ++slot)
-      if (reply->digests[slot] != held_[slot].digest && owned_[slot].state == Owned::State::none)
+      if (reply->digests[slot] != slot_replicas_[slot].digest &&
+          slot_ownership_[slot].state == SlotOwnership::State::none)
         repair_slot(peer, slot);
   });
 }
@@ -26,34 +28,35 @@
     auto* range = std::get_if<RangeReply>(&result);
     if (range == nullptr) return;
     FetchRecords fetch{slot, {}};
-    for (const auto& theirs : range->stamps)
-      if (wanted_for_repair(slot, theirs)) fetch.keys.push_back(theirs.key);
+    for (const auto& peer_record : range->stamps)
+      if (needs_repair(slot, peer_record)) fetch.keys.push_back(peer_record.key);
     if (fetch.keys.empty()) return;
     messenger_.request(peer.address, fetch, peer_timeout, [this, slot](Result<RecordsReply> fetched) {
-      if (auto* records = std::get_if<RecordsReply>(&fetched)) keep_repaired(slot, std::move(records->records));
+      if (auto* records = std::get_if<RecordsReply>(&fetched)) store_repaired(slot, std::move(records->records));
     });
   });
 }
 
-// Repair only copies: what is of another epoch than the one promised is left to that epoch's owner.
-bool ReplicatedStore::wanted_for_repair(std::uint32_t slot, const Record& theirs) const {
-  const Held& held = held_[slot];
-  if (theirs.stamp.epoch != held.promised || slot_of(theirs.key) != slot) return false;
-  auto mine = held.records.find(theirs.key);
-  return mine == held.records.end() || mine->second.stamp < theirs.stamp;
+// Repair only copies records of the promised epoch. Records of other epochs are left to the slot's owner.
+bool ReplicatedStore::needs_repair(std::uint32_t slot, const Record& peer_record) const {
+  const SlotReplica& replica = slot_replicas_[slot];
+  if (peer_record.stamp.epoch != replica.promised || slot_of(peer_record.key) != slot) return false;
+  auto own_record = replica.records.find(peer_record.key);
+  return own_record == replica.records.end() || own_record->second.stamp < peer_record.stamp;
 }
 
-void ReplicatedStore::keep_repaired(std::uint32_t slot, std::vector<Record> records) {
+void ReplicatedStore::store_repaired(std::uint32_t slot, std::vector<Record> records) {
   for (auto& record : records) {
-    if (!wanted_for_repair(slot, record)) continue;
+    if (!needs_repair(slot, record)) continue;
     if (!has_room(size_of(record))) {
       ++counts_.stores_refused_for_room;
       return;
     }
     Change change{record.key,     {},           record.stamp,  true, record.removed, record.head,
                   record.entries, record.token, record.written};
-    apply(held_[slot], change);
-    persist(DiskEntry{.what = "change", .slot = slot, .epoch = record.stamp.epoch, .change = std::move(change)}, [] {});
+    apply(slot_replicas_[slot], change);
+    append_to_log(DiskEntry{.what = "change", .slot = slot, .epoch = record.stamp.epoch, .change = std::move(change)},
+                  [] {});
   }
 }
 
--- a/source/replication/retirement.cpp
+++ b/source/replication/retirement.cpp
@@ -1,4 +1,4 @@
-// How far the retirement of a holder is: complete when nothing would be lost with its machine.
+// Retirement of a storage node: it is complete once no record would be lost with its machine.
 #include <algorithm>
 #include <set>
 
@@ -8,116 +8,123 @@
 namespace mothwalk {
 
 namespace {
-constexpr Duration members_settle = std::chrono::seconds(4);  // longer than a session stands without a beat
-constexpr Duration approval_span = std::chrono::seconds(10);  // until a mark that was written is surely in the news
-constexpr std::size_t fewest_remaining = 3;                   // holders, of which one may be lost
+constexpr Duration members_settle_time = std::chrono::seconds(4);  // Longer than a session lasts without heartbeats.
+constexpr Duration approval_validity =
+    std::chrono::seconds(10);                   // By then a retirement mark that was written is in the configuration.
+constexpr std::size_t min_remaining_nodes = 3;  // Storage nodes, of which one may be lost.
 }  // namespace
 
-Address ReplicatedStore::retiring_holder(const Retirement& asked, const Roster& roster) const {
-  if (!asked.holder.empty() || asked.name.empty()) return asked.holder;
+Address ReplicatedStore::retiring_node(const Retirement& request, const Roster& roster) const {
+  if (!request.holder.empty() || request.name.empty()) return request.holder;
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
-    if (member.name == asked.name && member.keeps == "lots") return address;
-  for (const auto& seat : roster.seats)
-    if (seat.name == asked.name) return seat.address;
+    if (member.name == request.name && member.keeps == "lots") return address;
+  for (const auto& voter : roster.seats)
+    if (voter.name == request.name) return voter.address;
   return {};
 }
 
-std::set<Address> ReplicatedStore::remaining_holders(const Roster& roster, const Address& without) const {
+std::set<Address> ReplicatedStore::remaining_storage_nodes(const Roster& roster, const Address& without) const {
   std::set<Address> remaining;
-  for (const auto& seat : roster.seats) remaining.insert(seat.address);
+  for (const auto& voter : roster.seats) remaining.insert(voter.address);
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
     if (member.keeps == "lots") remaining.insert(address);
   const auto configuration = shared_state_.configuration.get();
   std::erase_if(remaining, [&](const Address& address) {
-    auto mark = configuration->holders.find(address.text);
-    const bool retired = mark != configuration->holders.end() && mark->second.spec.retired;
+    auto found = configuration->holders.find(address.text);
+    const bool retired = found != configuration->holders.end() && found->second.spec.retired;
     return address == without || retired;
   });
   return remaining;
 }
 
-std::optional<RetirementReply> ReplicatedStore::review(const Retirement& asked, const Roster& roster) {
+std::optional<RetirementReply> ReplicatedStore::assess_retirement(const Retirement& request, const Roster& roster) {
   const TimePoint now = messenger_.timers().now();
-  std::erase_if(approved_, [now](const auto& each) { return now - each.second > approval_span; });
+  std::erase_if(approved_retirements_, [now](const auto& each) { return now - each.second > approval_validity; });
   RetirementReply reply;
-  reply.holder = retiring_holder(asked, roster);
+  reply.holder = retiring_node(request, roster);
   const auto configuration = shared_state_.configuration.get();
-  if (auto mark = configuration->holders.find(reply.holder.text); mark != configuration->holders.end())
-    reply.known = true, reply.retired = mark->second.spec.retired;
-  // A machine that left after its retirement is known by its name no more.
-  if (reply.holder.empty() && !asked.begins) reply.retired = true;
-  for (const auto& seat : roster.seats)
-    reply.seated = reply.seated || seat.address == reply.holder || (!asked.name.empty() && seat.name == asked.name);
+  if (auto found = configuration->holders.find(reply.holder.text); found != configuration->holders.end())
+    reply.known = true, reply.retired = found->second.spec.retired;
+  // The name of a machine that has left after its retirement is no longer known.
+  if (reply.holder.empty() && !request.begins) reply.retired = true;
+  for (const auto& voter : roster.seats)
+    reply.seated =
+        reply.seated || voter.address == reply.holder || (!request.name.empty() && voter.name == request.name);
   reply.known = reply.known || reply.seated || shared_state_.members.get()->all.contains(reply.holder);
-  auto remaining = remaining_holders(roster, reply.holder);
-  reply.enough_remain = remaining.size() >= fewest_remaining;
-  if (!asked.begins || !reply.known || reply.retired || !reply.enough_remain) return reply;
-  // Another retirement that was allowed may take effect or not: whether enough would remain is not known yet.
-  std::erase_if(remaining, [this](const Address& address) { return approved_.contains(address); });
-  if (remaining.size() < fewest_remaining) return std::nullopt;
-  approved_[reply.holder] = now;
+  auto remaining = remaining_storage_nodes(roster, reply.holder);
+  reply.enough_remain = remaining.size() >= min_remaining_nodes;
+  if (!request.begins || !reply.known || reply.retired || !reply.enough_remain) return reply;
+  // Another retirement that was approved may or may not take effect, so it is not known yet whether enough would
+  // remain.
+  std::erase_if(remaining, [this](const Address& address) { return approved_retirements_.contains(address); });
+  if (remaining.size() < min_remaining_nodes) return std::nullopt;
+  approved_retirements_[reply.holder] = now;
   return reply;
 }
 
-void ReplicatedStore::retirement(const Retirement& asked, ReplyCallback<RetirementReply> answer) {
-  const std::uint32_t slot = slot_of(asked.roster);
-  if ((asked.roster != "roster" && asked.roster != lot_roster_key) || owned_[slot].state != Owned::State::owned ||
-      !keeps_key(asked.roster))
-    return answer(moved());
-  confirm(slot, [this, slot, asked, answer](bool good) {
-    auto found = held_[slot].records.find(asked.roster);
-    if (!good || owned_[slot].state != Owned::State::owned || found == held_[slot].records.end() ||
-        changing_.contains(asked.roster))
-      return answer(moved());
+void ReplicatedStore::on_retirement(const Retirement& request, ReplyCallback<RetirementReply> respond) {
+  const std::uint32_t slot = slot_of(request.roster);
+  if ((request.roster != "roster" && request.roster != lot_roster_key) ||
+      slot_ownership_[slot].state != SlotOwnership::State::owned || !stores_key(request.roster))
+    return respond(not_owner());
+  confirm(slot, [this, slot, request, respond](bool succeeded) {
+    auto found = slot_replicas_[slot].records.find(request.roster);
+    if (!succeeded || slot_ownership_[slot].state != SlotOwnership::State::owned ||
+        found == slot_replicas_[slot].records.end() || changing_.contains(request.roster))
+      return respond(not_owner());
     auto read = from_json<Roster>(found->second.head);
-    if (error_of(read) != nullptr) return answer(moved());
+    if (error_of(read) != nullptr) return respond(not_owner());
     const Roster roster = std::get<Roster>(std::move(read));
-    const auto reviewed = review(asked, roster);
-    if (!reviewed) return answer(moved());
-    RetirementReply reply = *reviewed;
-    // A store that has just started does not know the members yet, and refuses nobody for good.
-    const bool refused = !reply.known || (asked.begins && !reply.retired && !reply.enough_remain);
-    if (refused && asked.begins && messenger_.timers().now() - started_ < members_settle) return answer(moved());
-    if (asked.begins) return answer(reply);
-    reply.complete = reply.retired && !reply.seated && copied_whole(asked.roster, roster);
-    if (reply.complete || reply.seated || !reply.retired) return answer(reply);
-    look_at_copies(asked.roster, roster, [this, reply, answer, key = asked.roster, roster] {
+    const auto assessment = assess_retirement(request, roster);
+    if (!assessment) return respond(not_owner());
+    RetirementReply reply = *assessment;
+    // A store that has just started does not know all members yet, so it asks for a retry instead of refusing.
+    const bool refused = !reply.known || (request.begins && !reply.retired && !reply.enough_remain);
+    if (refused && request.begins && messenger_.timers().now() - started_ < members_settle_time)
+      return respond(not_owner());
+    if (request.begins) return respond(reply);
+    reply.complete = reply.retired && !reply.seated && fully_replicated(request.roster, roster);
+    if (reply.complete || reply.seated || !reply.retired) return respond(reply);
+    check_replication(request.roster, roster, [this, reply, respond, key = request.roster, roster] {
       RetirementReply final_reply = reply;
-      final_reply.complete = copied_whole(key, roster);
-      answer(final_reply);
+      final_reply.complete = fully_replicated(key, roster);
+      respond(final_reply);
     });
   });
 }
 
-void ReplicatedStore::look_at_copies(const std::string& key, const Roster& current, std::function<void()> then) {
-  if (Copied& copied = copied_[key]; copied.roster != current.version) copied = Copied{current.version, {}};
+void ReplicatedStore::check_replication(const std::string& key, const Roster& current, std::function<void()> then) {
+  if (ReplicatedSlots& replicated = replicated_slots_[key]; replicated.roster != current.version)
+    replicated = ReplicatedSlots{current.version, {}};
   auto replies = std::make_shared<std::vector<SyncStatusReply>>();
-  auto left = std::make_shared<std::size_t>(current.seats.size());
-  for (const auto& seat : current.seats)
-    messenger_.request(seat.address, SyncStatus{current.version}, peer_timeout,
-                       [this, replies, left, key, version = current.version, seats = current.seats.size(),
+  auto outstanding = std::make_shared<std::size_t>(current.seats.size());
+  for (const auto& voter : current.seats)
+    messenger_.request(voter.address, SyncStatus{current.version}, peer_timeout,
+                       [this, replies, outstanding, key, version = current.version, voters = current.seats.size(),
                         then](Result<SyncStatusReply> result) {
-                         if (auto* settled = std::get_if<SyncStatusReply>(&result);
-                             settled != nullptr && settled->installed.size() == slot_count &&
-                             settled->digests.size() == slot_count && settled->epochs.size() == settled->slots.size())
-                           replies->push_back(std::move(*settled));
-                         if (--*left > 0) return;
-                         Copied& copied = copied_[key];
-                         if (copied.roster == version && replies->size() == seats) note_whole_slots(copied, *replies);
+                         if (auto* sync_status = std::get_if<SyncStatusReply>(&result);
+                             sync_status != nullptr && sync_status->installed.size() == slot_count &&
+                             sync_status->digests.size() == slot_count &&
+                             sync_status->epochs.size() == sync_status->slots.size())
+                           replies->push_back(std::move(*sync_status));
+                         if (--*outstanding > 0) return;
+                         ReplicatedSlots& replicated = replicated_slots_[key];
+                         if (replicated.roster == version && replies->size() == voters)
+                           add_replicated_slots(replicated, *replies);
                          then();
                        });
 }
 
-// A slot is whole where each seat has what its owner has.
-void ReplicatedStore::note_whole_slots(Copied& copied, const std::vector<SyncStatusReply>& replies) {
+// A slot is in sync if each voter has the same records as its owner.
+void ReplicatedStore::add_replicated_slots(ReplicatedSlots& replicated, const std::vector<SyncStatusReply>& replies) {
   for (const auto& owner : replies)
     for (std::size_t index = 0; index < owner.slots.size(); ++index) {
       const std::uint32_t number = owner.slots[index];
       if (number >= slot_count) continue;
-      const bool whole = std::all_of(replies.begin(), replies.end(), [&](const SyncStatusReply& copy) {
-        return copy.installed[number] >= owner.epochs[index] || copy.digests[number] == owner.digests[number];
+      const bool in_sync = std::all_of(replies.begin(), replies.end(), [&](const SyncStatusReply& other) {
+        return other.installed[number] >= owner.epochs[index] || other.digests[number] == owner.digests[number];
       });
-      if (whole) copied.slots.insert(number);
+      if (in_sync) replicated.slots.insert(number);
     }
 }
 
--- a/source/replication/roster_changes.cpp
+++ b/source/replication/roster_changes.cpp
@@ -1,4 +1,5 @@
-// Changes of the rosters: who votes, one seat at a time, by agreement of both the old and the new majority.
+// Roster changes: voters are added and removed one at a time, and each change needs majorities of both the old and the
+// new roster.
 #include <algorithm>
 
 #include "replication/replicated_store.hpp"
@@ -9,93 +10,102 @@
 namespace {
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-constexpr Duration replace_after = std::chrono::seconds(10);
-constexpr Duration replaced_after = milliseconds(1000);  // where another holder came about then
-// A successor may stand before the end of its forerunner's session is noticed, or be started before it by plan.
+constexpr Duration lost_after = std::chrono::seconds(10);  // An unreachable voter counts as lost after this time.
+constexpr Duration replaced_after = milliseconds(1000);    // The same if another storage node has come up meanwhile.
+// The replacement of a node may come up before the end of the former node's session is noticed, or be started before it
+// on purpose. A node that came up at most this long before the voter became unreachable counts as its replacement.
 constexpr Duration successor_window = seconds(6);
-constexpr Duration lots_founding_pause = milliseconds(1500);
-constexpr std::size_t control_seats = 5, fewest_seats = 3;
-// Lots take long to copy: two more seats bear the next losses while those before them are still being made good.
-constexpr std::size_t lot_seats = 7;
-constexpr std::uint64_t joining_ticks = 6;             // between looks at what joining seats hold
-constexpr Duration settled_limit = milliseconds(300);  // a seat that is busy for longer is asked again
-
-std::size_t seats_wanted(const std::string& keeps) {
-  return keeps == "lots" ? lot_seats : control_seats;
+// The number of storage nodes of lots has to be the same for this time before their first roster is made. With fewer
+// than min_voters nodes it has to be the same for six seconds.
+constexpr Duration lot_roster_bootstrap_delay = milliseconds(1500);
+constexpr std::size_t control_voters = 5, min_voters = 3;
+// Lots take long to copy: with two more voters the roster survives further losses while lost replicas are still being
+// restored.
+constexpr std::size_t lot_voters = 7;
+constexpr std::uint64_t joining_check_ticks = 6;             // Ticks between checks of the joining voters.
+constexpr Duration sync_status_timeout = milliseconds(300);  // A voter that takes longer is asked again later.
+
+std::size_t voters_wanted(const std::string& keeps) {
+  return keeps == "lots" ? lot_voters : control_voters;
 }
 
-bool joining(const Roster& roster) {
-  return std::any_of(roster.seats.begin(), roster.seats.end(), [](const Voter& seat) { return seat.joining; });
+bool has_joining_voters(const Roster& roster) {
+  return std::any_of(roster.seats.begin(), roster.seats.end(), [](const Voter& voter) { return voter.joining; });
 }
 }  // namespace
 
-// One change at a time, only when every slot has been handed over whole under the roster in force: then any majority of
-// the next roster meets any majority that a change was acknowledged by.
-void ReplicatedStore::roster_duty() {
+// The roster changes one version at a time, and only once every slot has been taken over under the current version.
+// Then any majority of the next roster intersects every majority that has acknowledged a change.
+void ReplicatedStore::maintain_roster() {
   const std::uint32_t slot = slot_of("roster");
-  if (owned_[slot].state != Owned::State::owned) return stop_watching("roster");
+  if (slot_ownership_[slot].state != SlotOwnership::State::owned) return stop_maintaining("roster");
   if (changing_.contains("roster")) return;
-  if (!held_[slot].records.contains("roster")) return change_roster("roster", roster_);
+  if (!slot_replicas_[slot].records.contains("roster")) return change_roster("roster", roster_);
   if (auto next = next_roster("roster", roster_, self_.keeps))
-    change_when_settled("roster", roster_, std::move(*next));
+    change_when_in_sync("roster", roster_, std::move(*next));
   else
-    watch_joining("roster", roster_);
+    check_joining_voters("roster", roster_);
 }
 
-void ReplicatedStore::stop_watching(const std::string& key) {
-  watched_.erase(key);
-  unsettled_.erase(key);
+void ReplicatedStore::stop_maintaining(const std::string& key) {
+  observations_.erase(key);
+  awaiting_sync_.erase(key);
   counts_.short_of_seats.erase(key);
 }
 
-// The roster of those that hold lots alone: a key of the control state, founded once there are such holders.
-void ReplicatedStore::lot_roster_duty() {
+// Maintains the roster of the storage nodes that store only lots. It is a record of the control state and is created
+// once there are such nodes.
+void ReplicatedStore::maintain_lot_roster() {
   const std::string key(lot_roster_key);
   const std::uint32_t slot = slot_of(key);
-  if (self_.keeps != "control" || owned_[slot].state != Owned::State::owned) return stop_watching(key);
+  if (self_.keeps != "control" || slot_ownership_[slot].state != SlotOwnership::State::owned)
+    return stop_maintaining(key);
   if (changing_.contains(key)) return;
-  if (auto found = held_[slot].records.find(key); found != held_[slot].records.end()) {
+  if (auto found = slot_replicas_[slot].records.find(key); found != slot_replicas_[slot].records.end()) {
     auto current = from_json<Roster>(found->second.head);
     if (error_of(current) != nullptr) return;
     const Roster& roster = std::get<Roster>(current);
     if (auto next = next_roster(key, roster, "lots"))
-      change_when_settled(key, roster, std::move(*next));
+      change_when_in_sync(key, roster, std::move(*next));
     else
-      watch_joining(key, roster);
+      check_joining_voters(key, roster);
     return;
   }
-  std::size_t seen = 0;
+  std::size_t lot_nodes_seen = 0;
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
-    seen += member.keeps_lots() && !member.keeps_control();
+    lot_nodes_seen += member.keeps_lots() && !member.keeps_control();
   const TimePoint now = messenger_.timers().now();
-  if (seen != newcomers_) newcomers_since_ = now;
-  newcomers_ = seen;
-  if (seen == 0 || now - newcomers_since_ < (seen < fewest_seats ? seconds(6) : lots_founding_pause)) return;
+  if (lot_nodes_seen != lot_nodes_seen_) lot_nodes_seen_since_ = now;
+  lot_nodes_seen_ = lot_nodes_seen;
+  if (lot_nodes_seen == 0 ||
+      now - lot_nodes_seen_since_ < (lot_nodes_seen < min_voters ? seconds(6) : lot_roster_bootstrap_delay))
+    return;
   Roster first;
   while (auto next = next_roster(key, first, "lots")) first.seats = std::move(next->seats);
   first.version = Version{1};
   if (!first.seats.empty()) change_roster(key, std::move(first));
 }
 
-// Whether a seat's holder is to be replaced, and how surely.
-ReplicatedStore::SeatState ReplicatedStore::seat_state(const Voter& seat, Watched& watched, TimePoint newest) const {
+// Whether a voter is to be replaced. `newest` is when the newest storage node of the group was first seen.
+ReplicatedStore::VoterState ReplicatedStore::voter_state(const Voter& voter, RosterObservations& observations,
+                                                         TimePoint newest) const {
   const auto members = shared_state_.members.get();
   const TimePoint now = messenger_.timers().now();
-  const Member* member = members->holder(seat.holder);
-  const bool there = member != nullptr && !member->stalled;
-  if (there) {
-    watched.missing_since.erase(seat.holder);
-    return retired(seat.address) ? SeatState::retired : SeatState::there;
+  const Member* member = members->holder(voter.holder);
+  const bool available = member != nullptr && !member->stalled;
+  if (available) {
+    observations.unreachable_since.erase(voter.holder);
+    return retired(voter.address) ? VoterState::retired : VoterState::available;
   }
-  const TimePoint since = watched.missing_since.try_emplace(seat.holder, now).first->second;
-  // A wiped machine is back under another identity, so its old seat has nobody to wait for.
-  auto at_address = members->all.find(seat.address);
+  const TimePoint since = observations.unreachable_since.try_emplace(voter.holder, now).first->second;
+  // A wiped machine is back under another identity, so its old identity will never come back.
+  auto at_address = members->all.find(voter.address);
   if (member == nullptr && at_address != members->all.end() && !at_address->second.holder.empty())
-    return SeatState::wiped;
-  // A holder that came about when this one went missing stands in for it.
-  if (now - since > replace_after || (now - since > replaced_after && newest + successor_window >= since))
-    return SeatState::lost;
-  return SeatState::missing;
+    return VoterState::wiped;
+  // A storage node that came up at about the time when this one became unreachable is its replacement.
+  if (now - since > lost_after || (now - since > replaced_after && newest + successor_window >= since))
+    return VoterState::lost;
+  return VoterState::unreachable;
 }
 
 bool ReplicatedStore::retired(const Address& address) const {
@@ -104,146 +114,151 @@
   return found != configuration->holders.end() && found->second.spec.retired;
 }
 
-// Live holders of the group without a seat, those of zones with the fewest seats first. Tells when the last holder came
-// that was never seen before. To who has just taken the duty over all are new: it can't tell, and dropping a seat that
-// would have come back costs little.
-std::vector<const Member*> ReplicatedStore::spares(const Members& members, const Roster& current,
-                                                   const std::string& keeps, Watched& watched,
-                                                   TimePoint* newest) const {
+// The available storage nodes of the group that are not voters, those of zones with the fewest voters first. Sets
+// `newest` to the time when the newest node of the group was first seen. A node that has just begun to maintain the
+// roster sees all nodes for the first time and may replace a voter too early; removing a voter that would have come
+// back costs little.
+std::vector<const Member*> ReplicatedStore::find_standbys(const Members& members, const Roster& current,
+                                                          const std::string& keeps, RosterObservations& observations,
+                                                          TimePoint* newest) const {
   const TimePoint now = messenger_.timers().now();
-  std::map<ZoneId, std::size_t> seats_in;
-  for (const auto& seat : current.seats) ++seats_in[seat.zone];
+  std::map<ZoneId, std::size_t> voters_in_zone;
+  for (const auto& voter : current.seats) ++voters_in_zone[voter.zone];
   std::vector<const Member*> list;
   for (const auto& [address, member] : members.all) {
     if (member.holder.empty() || member.keeps != keeps) continue;
     const bool seated = current.seated(member.holder);
-    *newest = std::max(*newest, watched.first_seen.try_emplace(member.holder, now).first->second);
+    *newest = std::max(*newest, observations.first_seen.try_emplace(member.holder, now).first->second);
     if (!seated && !member.stalled && !retired(address)) list.push_back(&member);
   }
-  std::sort(list.begin(), list.end(), [&](const Member* left, const Member* right) {
-    return std::make_tuple(seats_in[left->zone], left->address) <
-           std::make_tuple(seats_in[right->zone], right->address);
+  std::sort(list.begin(), list.end(), [&](const Member* left_member, const Member* right_member) {
+    return std::make_tuple(voters_in_zone[left_member->zone], left_member->address) <
+           std::make_tuple(voters_in_zone[right_member->zone], right_member->address);
   });
   return list;
 }
 
-// The roster with one seat more or less, where the members call for it. A seat whose holder is lost is dropped before
-// another one is added, and none is added while one is missing and may be lost: with the dead seat the majority would
-// be larger, and no holder more could go. A retired holder that still is there keeps its seat until its successor has
-// one.
+// The roster with one voter more or fewer, if the members require a change. A lost voter is removed before another one
+// is added, and none is added while a voter is unreachable and may be lost: the lost voter would still count towards a
+// larger majority, and no further node could fail. A retired node that is still available keeps its vote until its
+// replacement has one.
 std::optional<Roster> ReplicatedStore::next_roster(const std::string& key, const Roster& current,
                                                    const std::string& keeps) {
-  Watched& watched = watched_[key];
+  RosterObservations& observations = observations_[key];
   const auto members = shared_state_.members.get();
   TimePoint newest;
-  const std::vector<const Member*> spare = spares(*members, current, keeps, watched, &newest);
-  const Voter* gone = nullptr;
-  SeatState worst = SeatState::there;
-  for (const auto& seat : current.seats)
-    if (const SeatState state = seat_state(seat, watched, newest); state > worst) {
-      gone = &seat;
-      worst = state;
+  const std::vector<const Member*> standbys = find_standbys(*members, current, keeps, observations, &newest);
+  const Voter* worst_voter = nullptr;
+  VoterState worst_state = VoterState::available;
+  for (const auto& voter : current.seats)
+    if (const VoterState state = voter_state(voter, observations, newest); state > worst_state) {
+      worst_voter = &voter;
+      worst_state = state;
     }
   Roster next = current;
   next.version = current.version.next();
-  const std::size_t wanted = seats_wanted(keeps);
-  const bool lacking = gone != nullptr || (current.seats.size() < wanted && !spare.empty());
-  watch_seats(key, current, lacking);
-  if (worst == SeatState::missing) return std::nullopt;
-  const std::size_t left = current.seats.size() - (gone != nullptr);
-  const bool founding = current.version == Version{};
-  const bool dead = worst > SeatState::missing;
-  const bool may_drop = gone != nullptr && (left >= fewest_seats || (dead && !spare.empty() && left >= 2));
-  if (may_drop && (dead || left >= wanted || spare.empty()))
-    std::erase_if(next.seats, [&](const Voter& seat) { return seat.holder == gone->holder; });
-  else if (!spare.empty() && left < wanted)
-    next.seats.push_back(Voter{spare[0]->holder, spare[0]->address, spare[0]->zone, spare[0]->name, !founding});
-  else if (joining(current) && copied_whole(key, current))
-    for (auto& seat : next.seats) seat.joining = false;
+  const std::size_t wanted = voters_wanted(keeps);
+  const bool short_of_voters = worst_voter != nullptr || (current.seats.size() < wanted && !standbys.empty());
+  update_voter_shortage(key, current, short_of_voters);
+  if (worst_state == VoterState::unreachable) return std::nullopt;
+  const std::size_t remaining = current.seats.size() - (worst_voter != nullptr);
+  const bool bootstrapping = current.version == Version{};
+  const bool is_lost = worst_state > VoterState::unreachable;
+  const bool may_drop =
+      worst_voter != nullptr && (remaining >= min_voters || (is_lost && !standbys.empty() && remaining >= 2));
+  if (may_drop && (is_lost || remaining >= wanted || standbys.empty()))
+    std::erase_if(next.seats, [&](const Voter& voter) { return voter.holder == worst_voter->holder; });
+  else if (!standbys.empty() && remaining < wanted)
+    next.seats.push_back(
+        Voter{standbys[0]->holder, standbys[0]->address, standbys[0]->zone, standbys[0]->name, !bootstrapping});
+  else if (has_joining_voters(current) && fully_replicated(key, current))
+    for (auto& voter : next.seats) voter.joining = false;
   else
     return std::nullopt;
   return next;
 }
 
-bool ReplicatedStore::copied_whole(const std::string& key, const Roster& current) const {
-  auto copied = copied_.find(key);
-  return copied != copied_.end() && copied->second.roster == current.version &&
-         copied->second.slots.size() == slot_count;
+bool ReplicatedStore::fully_replicated(const std::string& key, const Roster& current) const {
+  auto replicated = replicated_slots_.find(key);
+  return replicated != replicated_slots_.end() && replicated->second.roster == current.version &&
+         replicated->second.slots.size() == slot_count;
 }
 
-// Seats that joined own slots once every seat has been seen to hold all of every slot.
-void ReplicatedStore::watch_joining(const std::string& key, const Roster& current) {
-  if (!joining(current) || copied_whole(key, current) || ticks_ % joining_ticks != 0) return;
-  look_at_copies(key, current, [] {});
+// Joining voters may own slots once every voter has been seen with all records of every slot.
+void ReplicatedStore::check_joining_voters(const std::string& key, const Roster& current) {
+  if (!has_joining_voters(current) || fully_replicated(key, current) || ticks_ % joining_check_ticks != 0) return;
+  check_replication(key, current, [] {});
 }
 
-void ReplicatedStore::watch_seats(const std::string& key, const Roster& current, bool lacking) {
-  if (current.version == Version{}) return;  // it is being founded
-  Watched& watched = watched_[key];
+void ReplicatedStore::update_voter_shortage(const std::string& key, const Roster& current, bool short_of_voters) {
+  if (current.version == Version{}) return;  // The first roster is being made.
+  RosterObservations& observations = observations_[key];
   const TimePoint now = messenger_.timers().now();
-  if (lacking) {
-    if (!watched.short_since) watched.short_since = now;
-    counts_.short_of_seats[key] = static_cast<std::uint64_t>((now - *watched.short_since).count() / 1000);
+  if (short_of_voters) {
+    if (!observations.short_of_voters_since) observations.short_of_voters_since = now;
+    counts_.short_of_seats[key] =
+        static_cast<std::uint64_t>((now - *observations.short_of_voters_since).count() / 1000);
     return;
   }
   counts_.short_of_seats.erase(key);
-  if (!watched.short_since) return;
-  report_.note("The group " + key + " has all its seats again: " + std::to_string(current.seats.size()) + ", " +
-               std::to_string((now - *watched.short_since).count() / 1000) + " ms after it fell short of them.");
-  watched.short_since.reset();
+  if (!observations.short_of_voters_since) return;
+  report_.note("Roster " + key + " is complete again: " + std::to_string(current.seats.size()) + " voters, " +
+               std::to_string((now - *observations.short_of_voters_since).count() / 1000) +
+               " ms after it became short of voters.");
+  observations.short_of_voters_since.reset();
 }
 
-void ReplicatedStore::change_when_settled(const std::string& key, const Roster& current, Roster next) {
+void ReplicatedStore::change_when_in_sync(const std::string& key, const Roster& current, Roster next) {
   changing_.insert(key);
-  unsettled_.insert(key);
+  awaiting_sync_.insert(key);
   struct Count {
-    std::set<std::uint32_t> covered;
-    std::size_t left = 0;
+    std::set<std::uint32_t> owned_slots;
+    std::size_t outstanding = 0;
     bool over = false;
   };
   auto count = std::make_shared<Count>();
-  // Who is not there owns nothing; waiting for its answer would only delay the next question.
+  // An unreachable voter owns no slots; waiting for its reply would only delay the next attempt.
   const auto members = shared_state_.members.get();
-  std::vector<Voter> seats = current.seats;
-  std::erase_if(seats, [&](const Voter& seat) { return members->holder(seat.holder) == nullptr; });
-  count->left = seats.size();
-  if (seats.empty()) changing_.erase(key);
-  for (const auto& seat : seats)
-    messenger_.request(seat.address, SyncStatus{current.version}, settled_limit,
+  std::vector<Voter> voters = current.seats;
+  std::erase_if(voters, [&](const Voter& voter) { return members->holder(voter.holder) == nullptr; });
+  count->outstanding = voters.size();
+  if (voters.empty()) changing_.erase(key);
+  for (const auto& voter : voters)
+    messenger_.request(voter.address, SyncStatus{current.version}, sync_status_timeout,
                        [this, count, key, next, version = current.version](Result<SyncStatusReply> result) {
-                         --count->left;
+                         --count->outstanding;
                          if (count->over) return;
                          if (auto* reply = std::get_if<SyncStatusReply>(&result))
-                           count->covered.insert(reply->slots.begin(), reply->slots.end());
-                         count->over = count->covered.size() == slot_count;
-                         if (count->over) unsettled_.erase(key);
+                           count->owned_slots.insert(reply->slots.begin(), reply->slots.end());
+                         count->over = count->owned_slots.size() == slot_count;
+                         if (count->over) awaiting_sync_.erase(key);
                          if (count->over && (key != "roster" || roster_.version == version))
                            return change_roster(key, next);
-                         if (count->over || count->left == 0) changing_.erase(key);
+                         if (count->over || count->outstanding == 0) changing_.erase(key);
                        });
 }
 
 void ReplicatedStore::change_roster(const std::string& key, Roster next) {
   const std::uint32_t slot = slot_of(key);
   changing_.insert(key);
-  if (owned_[slot].state != Owned::State::owned) return void(changing_.erase(key));
+  if (slot_ownership_[slot].state != SlotOwnership::State::owned) return void(changing_.erase(key));
   const TimePoint now = messenger_.timers().now();
-  TimePoint& changed = watched_[key].changed;
-  report_.note("The roster " + key + " goes to version " + std::to_string(next.version.value) + " with " +
-               std::to_string(next.seats.size()) + " seats" +
-               (changed == TimePoint{}
+  TimePoint& last_change = observations_[key].last_change;
+  report_.note("Changing roster " + key + " to version " + std::to_string(next.version.value) + " with " +
+               std::to_string(next.seats.size()) + " voters" +
+               (last_change == TimePoint{}
                     ? std::string(".")
-                    : ", " + std::to_string((now - changed).count() / 1000) + " ms after the last change."));
-  changed = now;
+                    : ", " + std::to_string((now - last_change).count() / 1000) + " ms after the previous change."));
+  last_change = now;
   ++counts_.roster_changes;
   Write request;
   request.key = key;
   request.head = json::serialize(to_json(next));
-  request.fence = owned_[slot].epoch.value;
+  request.fence = slot_ownership_[slot].epoch.value;
   write(std::move(request), [this, key, next](Result<WriteReply> result) {
     changing_.erase(key);
     if (error_of(result) == nullptr && key == lot_roster_key)
-      for (const auto& seat : next.seats) messenger_.send(seat.address, RosterUpdate{next, "lots"});
+      for (const auto& voter : next.seats) messenger_.send(voter.address, RosterUpdate{next, "lots"});
   });
 }
 
--- a/source/replication/slot_records.cpp
+++ b/source/replication/slot_records.cpp
@@ -1,4 +1,4 @@
-// The records of one slot, as every replica holds them: single records, changes and whole hand-overs.
+// Operations on the records of one replica of a slot: single records, changes and installations.
 #include <algorithm>
 
 #include "replication/replicated_store.hpp"
@@ -6,66 +6,69 @@
 
 namespace mothwalk {
 
-void ReplicatedStore::put_record(Held& held, Record record) {
+void ReplicatedStore::put_record(SlotReplica& replica, Record record) {
   if (record.written == Stamp{}) record.written = record.stamp;
-  Record& place = held.records[record.key];
-  if (!place.key.empty()) {
-    held.digest ^= record_hash(place);
-    held.bytes -= size_of(place);
+  Record& stored = replica.records[record.key];
+  if (!stored.key.empty()) {
+    replica.digest ^= record_hash(stored);
+    replica.bytes -= size_of(stored);
   }
-  held.bytes += size_of(record);
+  replica.bytes += size_of(record);
   if (record.key.starts_with("lot/"))
-    held.removed_lots += static_cast<std::size_t>(record.removed) - static_cast<std::size_t>(place.removed);
-  held.digest ^= record_hash(record);
-  place = std::move(record);
+    replica.removed_lots += static_cast<std::size_t>(record.removed) - static_cast<std::size_t>(stored.removed);
+  replica.digest ^= record_hash(record);
+  stored = std::move(record);
 }
 
-void ReplicatedStore::erase_record(Held& held, const std::string& key) {
-  auto found = held.records.find(key);
-  if (found == held.records.end()) return;
-  held.digest ^= record_hash(found->second);
-  held.bytes -= size_of(found->second);
-  if (lot_key(key)) held.removed_lots -= found->second.removed;
-  held.records.erase(found);
+void ReplicatedStore::erase_record(SlotReplica& replica, const std::string& key) {
+  auto found = replica.records.find(key);
+  if (found == replica.records.end()) return;
+  replica.digest ^= record_hash(found->second);
+  replica.bytes -= size_of(found->second);
+  if (lot_key(key)) replica.removed_lots -= found->second.removed;
+  replica.records.erase(found);
 }
 
-bool ReplicatedStore::newer(const Held& held, const Record& record) {
-  auto mine = held.records.find(record.key);
-  return mine == held.records.end() || mine->second.stamp < record.stamp;
+bool ReplicatedStore::is_newer(const SlotReplica& replica, const Record& record) {
+  auto own_record = replica.records.find(record.key);
+  return own_record == replica.records.end() || own_record->second.stamp < record.stamp;
 }
 
-void ReplicatedStore::put_copies(Held& held, std::vector<Record> records) {
+void ReplicatedStore::put_newer_records(SlotReplica& replica, std::vector<Record> records) {
   for (auto& record : records)
-    if (newer(held, record)) put_record(held, std::move(record));
+    if (is_newer(replica, record)) put_record(replica, std::move(record));
 }
 
-std::vector<std::string> ReplicatedStore::install(Held& held, Epoch epoch, const std::vector<RecordStamp>& content) {
+std::vector<std::string> ReplicatedStore::install(SlotReplica& replica, Epoch epoch,
+                                                  const std::vector<RecordStamp>& content) {
   std::vector<std::string> missing;
   for (const auto& each : content) {
-    auto mine = held.records.find(each.key);
-    if (mine == held.records.end() || (mine->second.written != each.written && mine->second.stamp.epoch != epoch))
+    auto own_record = replica.records.find(each.key);
+    if (own_record == replica.records.end() ||
+        (own_record->second.written != each.written && own_record->second.stamp.epoch != epoch))
       missing.push_back(each.key);
   }
   if (!missing.empty()) return missing;
   std::set<StringView> named;
   for (const auto& each : content) {
     named.insert(each.key);
-    Record& mine = held.records[each.key];
-    held.digest ^= record_hash(mine);
-    if (mine.stamp.epoch != epoch) mine.stamp = Stamp{epoch, each.stamp.version};
-    held.digest ^= record_hash(mine);
+    Record& own_record = replica.records[each.key];
+    replica.digest ^= record_hash(own_record);
+    if (own_record.stamp.epoch != epoch) own_record.stamp = Stamp{epoch, each.stamp.version};
+    replica.digest ^= record_hash(own_record);
   }
-  std::vector<std::string> others;
-  for (const auto& [key, record] : held.records)
-    if (!named.contains(key) && record.stamp.epoch != epoch) others.push_back(key);
-  for (const auto& key : others) erase_record(held, key);
-  held.installed = epoch;
+  std::vector<std::string> unnamed;
+  for (const auto& [key, record] : replica.records)
+    if (!named.contains(key) && record.stamp.epoch != epoch) unnamed.push_back(key);
+  for (const auto& key : unnamed) erase_record(replica, key);
+  replica.installed = epoch;
   return missing;
 }
 
-void ReplicatedStore::apply(Held& held, const Change& change) {
+void ReplicatedStore::apply(SlotReplica& replica, const Change& change) {
   Record record;
-  if (auto found = held.records.find(change.key); found != held.records.end() && !change.full) record = found->second;
+  if (auto found = replica.records.find(change.key); found != replica.records.end() && !change.full)
+    record = found->second;
   record.key = change.key;
   record.stamp = change.stamp;
   record.written = change.written == Stamp{} ? change.stamp : change.written;
@@ -77,7 +80,7 @@
   }
   record.entries.insert(record.entries.end(), change.appends.begin(), change.appends.end());
   record.token = change.token;
-  put_record(held, std::move(record));
+  put_record(replica, std::move(record));
 }
 
 }  // namespace mothwalk
--- a/source/replication/store_client.cpp
+++ b/source/replication/store_client.cpp
@@ -1,15 +1,15 @@
-// Writing and reading of keys at their owner.
+// Reads and writes as messages to the owner of the key.
 #include "replication/store_client.hpp"
 
 namespace mothwalk {
 
-void StoreClient::write(Write write, Duration timeout, ReplyCallback<WriteReply> answer) {
+void StoreClient::write(Write write, Duration timeout, ReplyCallback<WriteReply> callback) {
   const std::string key = write.key;
-  ask_owner<Write>(key, std::move(write), messenger_.timers().now() + timeout, false, std::move(answer));
+  ask_owner<Write>(key, std::move(write), messenger_.timers().now() + timeout, false, std::move(callback));
 }
 
-void StoreClient::read(const std::string& key, Duration timeout, ReplyCallback<ReadReply> answer, bool head_only) {
-  ask_owner<Read>(key, Read{key, head_only}, messenger_.timers().now() + timeout, false, std::move(answer));
+void StoreClient::read(const std::string& key, Duration timeout, ReplyCallback<ReadReply> callback, bool head_only) {
+  ask_owner<Read>(key, Read{key, head_only}, messenger_.timers().now() + timeout, false, std::move(callback));
 }
 
 }  // namespace mothwalk
--- a/source/replication/store_file.cpp
+++ b/source/replication/store_file.cpp
@@ -1,4 +1,5 @@
-// The entries of a replicated store's record file: taking them at the start, and making them anew from memory.
+// The entries of a replicated store's record file: replaying them at the start, and producing them from memory for a
+// compaction.
 #include <algorithm>
 
 #include "replication/replicated_store.hpp"
@@ -9,58 +10,61 @@
 namespace {
 Error unusable(const std::string& what) {
   return Error{ErrorKind::damaged, "record_file", what,
-               "empty the data folder so that this machine joins as a new holder"};
+               "empty the data folder so that this machine joins as a new storage node"};
 }
 }  // namespace
 
 Result<Success> ReplicatedStore::load() {
   auto read = log_.load();
   if (auto error = error_of(read)) return *error;
-  file_ = std::get<ReadFile>(std::move(read));
-  if (file_.damaged)
-    report_.note("The record file is damaged; its copies come back from peers and this folder takes a new identity.");
-  else if (file_.torn)
-    report_.note("A torn tail of the record file was cut.");
-  for (auto& entry : std::exchange(file_.entries, {}))
+  loaded_file_ = std::get<ReadFile>(std::move(read));
+  if (loaded_file_.damaged)
+    report_.note(
+        "The record file is damaged; this data folder gets a new identity and copies its records from other storage "
+        "nodes.");
+  else if (loaded_file_.torn)
+    report_.note("The record file ended in an incomplete entry, which was truncated.");
+  for (auto& entry : std::exchange(loaded_file_.entries, {}))
     if (auto replayed = replay(std::move(entry)); error_of(replayed)) return replayed;
-  if (identity_.empty()) take_new_identity();
+  if (identity_.empty()) assign_new_identity();
   self_.holder = identity_;
-  tell_seats();
+  publish_voters();
   return Success{};
 }
 
 Result<Success> ReplicatedStore::replay(DiskEntry entry) {
-  if (entry.slot >= slot_count) return unusable("a record names slot " + std::to_string(entry.slot));
-  Held& held = held_[entry.slot];
+  if (entry.slot >= slot_count) return unusable("an entry names the invalid slot " + std::to_string(entry.slot));
+  SlotReplica& replica = slot_replicas_[entry.slot];
   if (entry.what == "identity") {
     if (entry.address != self_.address)
-      return Error{ErrorKind::conflict, "data_folder", "the folder belongs to the holder at " + entry.address.text,
-                   "give this machine its own folder, or empty this one so that it joins as a new holder"};
+      return Error{ErrorKind::conflict, "data_folder",
+                   "the data folder belongs to the storage node at " + entry.address.text,
+                   "use this machine's own data folder, or empty this one so that it joins as a new storage node"};
     identity_ = entry.holder;
   } else if (entry.what == "roster")
     roster_ = entry.roster;
   else if (entry.what == "promise") {
-    held.promised = entry.epoch;
-    held.promised_to = entry.holder;
+    replica.promised = entry.epoch;
+    replica.promised_to = entry.holder;
   } else if (entry.what == "change")
-    apply(held, entry.change);
+    apply(replica, entry.change);
   else if (entry.what == "install") {
-    held.installed = entry.epoch;
-    held.records.clear();
-    held.digest = held.removed_lots = held.bytes = 0;
-    for (auto& record : entry.records) put_record(held, std::move(record));
+    replica.installed = entry.epoch;
+    replica.records.clear();
+    replica.digest = replica.removed_lots = replica.bytes = 0;
+    for (auto& record : entry.records) put_record(replica, std::move(record));
   } else if (entry.what == "copies")
-    put_copies(held, std::move(entry.records));
+    put_newer_records(replica, std::move(entry.records));
   else if (entry.what == "handover") {
-    if (!install(held, entry.epoch, entry.content).empty())
-      return unusable("a hand-over names records that the file does not have");
+    if (!install(replica, entry.epoch, entry.content).empty())
+      return unusable("a takeover lists records that the file does not contain");
   } else
-    return Error{ErrorKind::damaged, "record_file", "a record is of the unknown kind '" + entry.what + "'",
-                 "run the version of mothwalk that wrote this folder"};
+    return Error{ErrorKind::damaged, "record_file", "unknown entry type '" + entry.what + "'",
+                 "run the version of mothwalk that wrote this data folder"};
   return Success{};
 }
 
-void ReplicatedStore::take_new_identity() {
+void ReplicatedStore::assign_new_identity() {
   constexpr StringView digits = "0123456789abcdef";
   Bytes text;
   for (int count = 0; count < 2; ++count) {
@@ -69,45 +73,45 @@
   }
   identity_ = StorageNodeId(text);
   roster_ = Roster{};
-  held_.assign(slot_count, Held{});
+  slot_replicas_.assign(slot_count, SlotReplica{});
 }
 
 RecordLog::Contents ReplicatedStore::log_contents() {
   RecordLog::Contents contents;
-  contents.head = [this] {
+  contents.header = [this] {
     std::vector<DiskEntry> entries{DiskEntry{.what = "identity", .holder = identity_, .address = self_.address}};
     if (!roster_.seats.empty()) entries.push_back(DiskEntry{.what = "roster", .roster = roster_});
     return entries;
   };
-  contents.slot = [this](std::uint32_t slot) {
+  contents.slot_entries = [this](std::uint32_t slot) {
     return slot_entries(slot);
   };
-  contents.size = [this] {
+  contents.total_bytes = [this] {
     std::size_t bytes = 0;
-    for (const auto& held : held_) bytes += held.bytes;
+    for (const auto& replica : slot_replicas_) bytes += replica.bytes;
     return bytes;
   };
   return contents;
 }
 
 std::vector<DiskEntry> ReplicatedStore::slot_entries(std::uint32_t slot) const {
-  const Held& held = held_[slot];
-  std::vector<DiskEntry> entries{DiskEntry{.what = "install", .slot = slot, .epoch = held.installed}};
+  const SlotReplica& replica = slot_replicas_[slot];
+  std::vector<DiskEntry> entries{DiskEntry{.what = "install", .slot = slot, .epoch = replica.installed}};
   std::size_t size = 0;
-  for (const auto& [key, record] : held.records) {
-    if (size > 0 && size + size_of(record) > longest_message) {
-      entries.push_back(DiskEntry{.what = "copies", .slot = slot, .epoch = held.installed});
+  for (const auto& [key, record] : replica.records) {
+    if (size > 0 && size + size_of(record) > max_message_bytes) {
+      entries.push_back(DiskEntry{.what = "copies", .slot = slot, .epoch = replica.installed});
       size = 0;
     }
     size += size_of(record);
     entries.back().records.push_back(record);
   }
-  DiskEntry promise{.what = "promise", .holder = held.promised_to, .slot = slot, .epoch = held.promised};
-  if (held.promised.value > 0) entries.push_back(std::move(promise));
+  DiskEntry promise{.what = "promise", .holder = replica.promised_to, .slot = slot, .epoch = replica.promised};
+  if (replica.promised.value > 0) entries.push_back(std::move(promise));
   return entries;
 }
 
-void ReplicatedStore::persist(DiskEntry entry, std::function<void()> then) {
+void ReplicatedStore::append_to_log(DiskEntry entry, std::function<void()> then) {
   log_.append(entry, std::move(then));
 }
 
--- a/source/replication/store_internals.hpp
+++ b/source/replication/store_internals.hpp
@@ -1,12 +1,14 @@
-// What the parts of the replicated store share: the time limit of calls between replicas, sizes, and faults.
+// Helpers shared by the source files of the replicated store: the timeout of requests between replicas, sizes and
+// hashes of records, and errors.
 #pragma once
 #include "replication/messages.hpp"
 
 namespace mothwalk {
 
-// How long an owner waits for one answer of a replica.
+// How long a storage node waits for one reply of another.
 inline constexpr Duration peer_timeout = std::chrono::milliseconds(1000);
 
+// The approximate size in bytes; 64 and 8 stand for the fixed fields of a record and of an entry.
 inline std::size_t size_of(const Record& record) {
   std::size_t size = record.key.size() + record.head.size() + 64;
   for (const auto& entry : record.entries) size += entry.size() + 8;
@@ -19,21 +21,23 @@
   return size;
 }
 
+// The digest of a slot is the exclusive or of these hashes of its records, so it can be updated record by record.
 inline std::uint64_t record_hash(const Record& record) {
   return hash_of(record.key, record.stamp.epoch.value * 1000003 + record.stamp.version.value * 2 + record.removed);
 }
 
-inline Error moved() {
-  return Error{ErrorKind::busy, "slot", "this holder does not own the slot of the key just now",
-               "ask again; another holder will answer"};
+inline Error not_owner() {
+  return Error{ErrorKind::busy, "slot", "this storage node does not own the slot of the key at present",
+               "send the request again; another storage node will take the slot over"};
 }
-inline Error stood_down() {
-  return Error{ErrorKind::unknown, "slot", "the slot moved while the change was on its way; the outcome is not known",
-               "send the same request again to settle it"};
+inline Error ownership_lost() {
+  return Error{ErrorKind::unknown, "slot",
+               "ownership of the slot was lost while the change was being replicated; its outcome is unknown",
+               "send the same request again to find out"};
 }
-inline Error not_me() {
-  return Error{ErrorKind::stale, "target", "the data folder at this address is another one",
-               "wait for the roster to name it"};
+inline Error wrong_target() {
+  return Error{ErrorKind::stale, "target", "the data folder at this address has a different identity",
+               "wait until the roster contains the new identity"};
 }
 
 }  // namespace mothwalk
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -1,4 +1,4 @@
-// The first start of a fleet whose seeds may have no disk, and its two groups of holders.
+// The first start of a fleet whose seeds may have no disk, with separate storage nodes for control state and for lots.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -11,15 +11,15 @@
 using std::chrono::seconds;
 
 namespace {
-class Catcher : public Transport {
+class CapturingTransport : public Transport {
  public:
   void send(const Address&, Envelope envelope) override { last = std::move(envelope); }
   Envelope last;
 };
 
-// A seed alone, spoken to by hand.
+// A single seed that gets its messages from the test.
 struct Seed {
-  Catcher wire;
+  CapturingTransport wire;
   World world{1};
   SimulatedTimers timers{world, std::make_shared<Life>()};
   SharedState shared_state;
@@ -27,19 +27,19 @@
   Founding founding;
   explicit Seed(bool first_start) : founding(messenger, shared_state, first_start) {}
   template <class Message>
-  typename Message::Reply say(const std::string& from, const Message& message) {
+  typename Message::Reply deliver(const std::string& from, const Message& message) {
     messenger.take(Envelope{Address(from), 1, "founding", "store", std::string(Message::kind), 5, false,
                             to_cbor(message), protocol_number});
     return *from_cbor<typename Message::Reply>(wire.last.body);
   }
 };
 
-Voter seat(const std::string& holder, const std::string& address) {
+Voter voter(const std::string& holder, const std::string& address) {
   return Voter{StorageNodeId(holder), Address(address), ZoneId("h")};
 }
 
-// Every distinct roster of version 1 that any machine's news or folder has shown.
-std::set<std::vector<Voter>> founded(SimulatedCluster& cluster) {
+// All distinct rosters of version 1 in the configurations of the running machines.
+std::set<std::vector<Voter>> first_rosters(SimulatedCluster& cluster) {
   std::set<std::vector<Voter>> rosters;
   for (auto& machine : cluster.machines)
     if (machine->alive())
@@ -49,71 +49,73 @@
 }
 }  // namespace
 
-TEST_CASE("a seed gives its word to one roster in its life, and a process started again to none") {
+TEST_CASE("a seed votes for one roster only, and a restarted seed for none") {
   Seed seed(true);
-  CHECK(seed.say("10.0.0.1:1", ReportCandidate{seat("a", "10.0.0.1:1")}).candidates.size() == 1);
-  CHECK(seed.say("10.0.0.2:1", ReportCandidate{seat("b", "10.0.0.2:1")}).candidates.size() == 2);
-  // Another identity at an address takes the place of the first; who reports for another address is not taken in.
-  CHECK(seed.say("10.0.0.2:1", ReportCandidate{seat("c", "10.0.0.2:1")}).candidates.size() == 2);
-  CHECK(seed.say("10.0.0.3:1", ReportCandidate{seat("d", "10.0.0.4:1")}).candidates.size() == 2);
-  const Roster first{Version{1}, {seat("a", "10.0.0.1:1")}}, second{Version{1}, {seat("b", "10.0.0.2:1")}};
-  CHECK(seed.say("10.0.0.1:1", AskWord{first}).roster.seats == first.seats);
-  const WordReply other = seed.say("10.0.0.2:1", AskWord{second});
-  CHECK((other.given && other.roster.seats == first.seats));
-  CHECK(seed.say("10.0.0.2:1", ReportCandidate{seat("c", "10.0.0.2:1")}).word.seats == first.seats);
+  CHECK(seed.deliver("10.0.0.1:1", ReportCandidate{voter("a", "10.0.0.1:1")}).candidates.size() == 1);
+  CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("b", "10.0.0.2:1")}).candidates.size() == 2);
+  // A new identity at an address replaces the former one. A report for an address other than the sender's is ignored.
+  CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).candidates.size() == 2);
+  CHECK(seed.deliver("10.0.0.3:1", ReportCandidate{voter("d", "10.0.0.4:1")}).candidates.size() == 2);
+  const Roster first{Version{1}, {voter("a", "10.0.0.1:1")}}, second{Version{1}, {voter("b", "10.0.0.2:1")}};
+  CHECK(seed.deliver("10.0.0.1:1", AskWord{first}).roster.seats == first.seats);
+  const WordReply other = seed.deliver("10.0.0.2:1", AskWord{second});
+  CHECK((other.granted && other.roster.seats == first.seats));
+  CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).vote.seats == first.seats);
   Seed later(false);
-  CHECK_FALSE(later.say("10.0.0.1:1", AskWord{first}).given);
-  CHECK_FALSE(later.say("10.0.0.1:1", ReportCandidate{seat("a", "10.0.0.1:1")}).first_start);
+  CHECK_FALSE(later.deliver("10.0.0.1:1", AskWord{first}).granted);
+  CHECK_FALSE(later.deliver("10.0.0.1:1", ReportCandidate{voter("a", "10.0.0.1:1")}).first_start);
 }
 
-TEST_CASE("a seed that knows of a roster gives its word to no other") {
+TEST_CASE("a seed that knows a roster votes for no other") {
   Seed seed(true);
   ConfigurationView view;
-  view.roster = Roster{Version{1}, {seat("a", "10.0.0.1:1")}};
+  view.roster = Roster{Version{1}, {voter("a", "10.0.0.1:1")}};
   seed.shared_state.configuration.set(view);
-  CHECK(seed.say("10.0.0.2:1", ReportCandidate{seat("b", "10.0.0.2:1")}).known);
-  CHECK_FALSE(seed.say("10.0.0.2:1", AskWord{Roster{Version{1}, {seat("b", "10.0.0.2:1")}}}).given);
+  CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("b", "10.0.0.2:1")}).known);
+  CHECK_FALSE(seed.deliver("10.0.0.2:1", AskWord{Roster{Version{1}, {voter("b", "10.0.0.2:1")}}}).granted);
 }
 
-TEST_CASE("the fleet is founded once, whichever daemons the seeds are, with holders of lots apart") {
+TEST_CASE("the fleet gets exactly one first roster, whichever daemons are seeds, and a separate one for lots") {
   for (std::uint64_t number = 1; number <= 12; ++number) {
     World world(number);
     SimulatedCluster cluster(world, shape_named("platform", 1.0));
     cluster.start();
     world.run_until(TimePoint{} + seconds(3));
-    CHECK(founded(cluster).size() == 1);
+    CHECK(first_rosters(cluster).size() == 1);
     world.run_until(TimePoint{} + seconds(7));
     const auto configuration = cluster.any_alive().shared_state().configuration.get();
     CHECK(configuration->roster.seats.size() == 4);
     CHECK(configuration->lot_roster.seats.size() == 4);
-    int taken = 0;
+    int accepted = 0;
     for (int lot = 0; lot < 20; ++lot)
       cluster.control(
           cluster.any_alive(), "PUT", "/lots/lot-" + std::to_string(lot), R"({"lane":"lines","items":["x"]})",
-          [&](int status, const std::string&) { taken += status == 200; }, true);
+          [&](int status, const std::string&) { accepted += status == 200; }, true);
     world.run_until(world.now() + seconds(2));
-    CHECK(taken == 20);
-    for (Machine* holder : cluster.holders()) {
-      CHECK((holder->disk().read_all().index() == 0));
-      CHECK((std::get<Bytes>(holder->disk().read_all()).find("lot/lot-") != Bytes::npos) == !holder->serves());
+    CHECK(accepted == 20);
+    for (Machine* storage_node : cluster.holders()) {
+      CHECK((storage_node->disk().read_all().index() == 0));
+      CHECK((std::get<Bytes>(storage_node->disk().read_all()).find("lot/lot-") != Bytes::npos) ==
+            !storage_node->serves());
     }
   }
 }
 
-TEST_CASE("a proposer that dies at any moment of the founding never leaves two rosters") {
+TEST_CASE("a proposer that dies at any step of the bootstrap never causes two rosters") {
   for (std::uint64_t number = 0; number < 40; ++number) {
     World world(100 + number);
     SimulatedCluster cluster(world, shape_named("platform", 1.0));
     cluster.start();
-    // The lowest candidate dies as a message of the founding passes it, and comes back with its folder or empty.
+    // A candidate is killed when it sends or receives a bootstrap message, and comes back with its data folder or
+    // without.
     world.armed_kind = number % 2 == 0 ? "take kept reply" : "send founding.word";
     world.armed = number % 2 == 0 ? 40 + number * 3 : 1 + number / 2 % 3;
-    bool struck = false, seed = false;
+    bool killed = false, seed_killed = false;
     world.strike = [&](const std::string& place) {
       for (auto& machine : cluster.machines)
         if (machine->name == place && machine->alive()) {
-          struck = true;
-          seed = std::find(cluster.seeds.begin(), cluster.seeds.end(), machine->address) != cluster.seeds.end();
+          killed = true;
+          seed_killed = std::find(cluster.seeds.begin(), cluster.seeds.end(), machine->address) != cluster.seeds.end();
           machine->kill(number % 4 < 2);
           world.after(milliseconds(300), [machine = machine.get()] {
             if (!machine->alive()) machine->start();
@@ -123,17 +125,17 @@
     std::set<std::vector<Voter>> seen;
     for (int step = 0; step < 100; ++step) {
       world.run_until(world.now() + milliseconds(100));
-      for (const auto& roster : founded(cluster)) seen.insert(roster);
+      for (const auto& roster : first_rosters(cluster)) seen.insert(roster);
     }
-    // A seed that was started again gives no word: then there may be no roster, but never two.
+    // A restarted seed does not vote. Then there may be no roster at all, but never two.
     CHECK(seen.size() <= 1);
-    if (!seed) CHECK(seen.size() == 1);
-    if (!seed) CHECK(cluster.ready());
-    if (number % 2 == 1) CHECK(struck);
+    if (!seed_killed) CHECK(seen.size() == 1);
+    if (!seed_killed) CHECK(cluster.ready());
+    if (number % 2 == 1) CHECK(killed);
   }
 }
 
-TEST_CASE("an empty folder in a later start only joins") {
+TEST_CASE("after the first start, a node with an empty data folder only joins and never makes a roster") {
   World world(31);
   SimulatedCluster cluster(world, shape_named("platform", 1.0));
   cluster.start();
@@ -144,7 +146,7 @@
   for (auto& machine : cluster.machines) CHECK(machine->shared_state().configuration.get()->roster.seats.empty());
 }
 
-TEST_CASE("a wiped holder is seated again and its old seat is gone well before the next loss may strike") {
+TEST_CASE("a wiped storage node becomes a voter again and its old identity is removed within 3.5 seconds") {
   for (const bool lots : {false, true})
     for (std::uint64_t number = 1; number <= 6; ++number) {
       World world(200 + number);
@@ -152,19 +154,19 @@
       cluster.start();
       world.run_until(TimePoint{} + seconds(8));
       Machine& machine = *cluster.machines[(lots ? 9 : 0) + number % 4];
-      auto seats = [&] {
+      auto roster = [&] {
         const auto configuration = cluster.machines[4]->shared_state().configuration.get();
         return lots ? configuration->lot_roster : configuration->roster;
       };
       const StorageNodeId before = machine.kept()->identity();
-      REQUIRE(seats().seated(before));
+      REQUIRE(roster().seated(before));
       machine.kill(true);
-      const bool elsewhere = number % 2 == 0;
+      const bool on_new_machine = number % 2 == 0;
       world.run_until(world.now() + seconds(2));
-      Machine& back = elsewhere ? cluster.add_machine("north", machine.keeps) : machine;
-      back.start();
+      Machine& replacement = on_new_machine ? cluster.add_machine("north", machine.keeps) : machine;
+      replacement.start();
       const TimePoint returned = world.now();
-      while ((seats().seated(before) || !seats().seated(back.kept()->identity())) &&
+      while ((roster().seated(before) || !roster().seated(replacement.kept()->identity())) &&
              world.now() - returned < seconds(10))
         world.run_until(world.now() + milliseconds(50));
       CHECK(world.now() - returned < milliseconds(3500));
--- a/tests/log_files_test.cpp
+++ b/tests/log_files_test.cpp
@@ -1,4 +1,4 @@
-// The record file and its rewriting at every point where the power may go, and on disks that are full or broken.
+// The record log and its compaction, with a power failure at every step, and on disks that are full or fail.
 #include <catch2/catch.hpp>
 
 #include "replication/record_log.hpp"
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint64_t chances = 24;  // draws of what a loss of power keeps, at each point
+constexpr std::uint64_t draws = 24;  // Random draws per step of what a power failure keeps.
 
 DiskEntry change_of(int number) {
   DiskEntry entry;
@@ -21,11 +21,12 @@
   return entry;
 }
 
-// A writer of changes whose memory is the set of the numbers written, by slot.
+// Writes numbered changes. Its state in memory is the set of the numbers written.
 struct Writer {
   explicit Writer(SimulatedVolume& volume) : volume_(volume), files_(volume) {}
 
-  struct DirectDisk : Disk {  // executes each order at once, or the ones that have gathered
+  // Queues disk orders and executes them all when run() is called.
+  struct DirectDisk : Disk {
     explicit DirectDisk(LogFiles& files) : files_(files) {}
     Result<Bytes> read_all() override { return files_.read_all(); }
     void order(DiskOrder order) override { orders.push_back(std::move(order)); }
@@ -41,22 +42,22 @@
 
   RecordLog::Contents contents() {
     RecordLog::Contents contents;
-    contents.head = [] {
+    contents.header = [] {
       return std::vector<DiskEntry>{DiskEntry{.what = "identity", .holder = StorageNodeId("mine")}};
     };
-    contents.slot = [this](std::uint32_t slot) {
+    contents.slot_entries = [this](std::uint32_t slot) {
       std::vector<DiskEntry> entries;
       for (const int number : numbers)
         if (change_of(number).slot == slot) entries.push_back(change_of(number));
       return entries;
     };
-    contents.size = [this] {
+    contents.total_bytes = [this] {
       return numbers.size() * 350;
     };
     return contents;
   }
 
-  // Opens what is there. False where the file is damaged.
+  // Opens the existing files. Returns false if the record file is damaged.
   bool open() {
     if (!files_.open()) return true;
     auto file = log.load();
@@ -70,7 +71,7 @@
 
   void write(int number) {
     numbers.insert(number);
-    log.append(change_of(number), [this, number] { safe.insert(number); });
+    log.append(change_of(number), [this, number] { durable.insert(number); });
   }
 
   SimulatedVolume& volume_;
@@ -79,15 +80,15 @@
   World world{3};
   SimulatedTimers timers{world, std::make_shared<Life>()};
   RecordLog log{disk, timers, contents(), 0};
-  std::set<int> numbers, safe;
+  std::set<int> numbers, durable;
 };
 
 void pass_time(Writer& writer) {
   writer.world.run_until(writer.world.now() + std::chrono::milliseconds(1100));
 }
 
-// Changes, several to a sync, a full disk on the way, and the rewrite that brings it back.
-void play(Writer& writer) {
+// Writes changes, several per sync, then fills the disk, and compacts the file, after which appends succeed again.
+void run_workload(Writer& writer) {
   int number = 0;
   auto write = [&](int count) {
     for (int index = 0; index < count; ++index) writer.write(++number);
@@ -110,49 +111,49 @@
 
 }  // namespace
 
-TEST_CASE("whatever a loss of power keeps, at each step of writing and rewriting, all that was safe is there") {
+TEST_CASE("after a power failure at any step of writing and compaction, every durable change is still there") {
   std::uint64_t steps = 0;
   {
     SimulatedVolume volume;
     Writer writer(volume);
     REQUIRE(writer.open());
-    play(writer);
-    CHECK(writer.log.rewrites() == 1);
+    run_workload(writer);
+    CHECK(writer.log.compactions() == 1);
     CHECK_FALSE(writer.log.failed());
     steps = volume.operations;
   }
   REQUIRE(steps > 60);
-  std::size_t switched = 0;
+  std::size_t compactions = 0;
   for (std::uint64_t step = 0; step <= steps; ++step)
-    for (std::uint64_t chance = 1; chance <= chances; ++chance) {
+    for (std::uint64_t draw = 1; draw <= draws; ++draw) {
       SimulatedVolume volume;
-      SeededRandom random(step * 1000 + chance);
-      std::set<int> safe;
+      SeededRandom random(step * 1000 + draw);
+      std::set<int> durable;
       {
         Writer writer(volume);
         volume.stop_after = step;
         writer.open();
-        play(writer);
-        safe = writer.safe;
-        switched += writer.log.rewrites();
+        run_workload(writer);
+        durable = writer.durable;
+        compactions += writer.log.compactions();
       }
       volume.lose_power(random);
-      Writer again(volume);
-      INFO("step " << step << ", chance " << chance);
-      REQUIRE(again.open());
-      REQUIRE(std::includes(again.numbers.begin(), again.numbers.end(), safe.begin(), safe.end()));
-      again.write(1000);
-      again.disk.run();
-      REQUIRE(again.safe.contains(1000));
+      Writer reopened(volume);
+      INFO("step " << step << ", draw " << draw);
+      REQUIRE(reopened.open());
+      REQUIRE(std::includes(reopened.numbers.begin(), reopened.numbers.end(), durable.begin(), durable.end()));
+      reopened.write(1000);
+      reopened.disk.run();
+      REQUIRE(reopened.durable.contains(1000));
       volume.lose_power(random);
-      Writer third(volume);
-      REQUIRE(third.open());
-      REQUIRE(third.numbers.contains(1000));
+      Writer reopened_again(volume);
+      REQUIRE(reopened_again.open());
+      REQUIRE(reopened_again.numbers.contains(1000));
     }
-  CHECK(switched > 0);
+  CHECK(compactions > 0);
 }
 
-TEST_CASE("after a failed sync nothing is said to be safe until the state stands in a new file") {
+TEST_CASE("after a failed sync nothing is reported as durable until a new file has replaced the current one") {
   SimulatedVolume volume;
   Writer writer(volume);
   REQUIRE(writer.open());
@@ -166,21 +167,21 @@
   volume.failing = false;
   writer.write(3);
   writer.disk.run();
-  CHECK(writer.safe == std::set<int>{1});
+  CHECK(writer.durable == std::set<int>{1});
   pass_time(writer);
   writer.log.tick();
   while (writer.disk.run()) {}
   CHECK_FALSE(writer.log.stalled());
-  CHECK(writer.log.rewrites() == 1);
+  CHECK(writer.log.compactions() == 1);
   writer.write(4);
   writer.disk.run();
-  CHECK(writer.safe == std::set<int>{1, 4});
-  Writer again(volume);
-  REQUIRE(again.open());
-  CHECK(again.numbers == std::set<int>{1, 2, 3, 4});
+  CHECK(writer.durable == std::set<int>{1, 4});
+  Writer reopened(volume);
+  REQUIRE(reopened.open());
+  CHECK(reopened.numbers == std::set<int>{1, 2, 3, 4});
 }
 
-TEST_CASE("what a failed sync left in the file is not read by the next process as if it were safe") {
+TEST_CASE("the next process does not read bytes from a failed sync as if they were durable") {
   SimulatedVolume volume;
   Writer writer(volume);
   REQUIRE(writer.open());
@@ -189,42 +190,42 @@
   volume.sync_failing = true;
   writer.write(2);
   writer.disk.run();
-  CHECK(writer.safe == std::set<int>{1});
+  CHECK(writer.durable == std::set<int>{1});
   volume.sync_failing = false;
-  Writer again(volume);
-  REQUIRE(again.open());
-  CHECK(again.numbers == std::set<int>{1});
+  Writer reopened(volume);
+  REQUIRE(reopened.open());
+  CHECK(reopened.numbers == std::set<int>{1});
 }
 
-TEST_CASE("a rewrite goes on in pieces of bounded size, and appends are safe between them") {
+TEST_CASE("a compaction writes chunks of bounded size, and appends become durable between them") {
   SimulatedVolume volume;
   Writer writer(volume);
   REQUIRE(writer.open());
   int number = 0;
   while (writer.log.file_size() < (25u << 20)) writer.write(++number);
-  writer.numbers.clear();  // most of what was written has been removed since
+  writer.numbers.clear();  // Most of the records have been removed since.
   for (int kept = 1; kept <= 9000; ++kept) writer.numbers.insert(kept);
   writer.disk.run();
   writer.log.tick();
-  std::size_t pieces = 0, largest = 0;
+  std::size_t chunks = 0, largest = 0;
   for (int turn = 0; !writer.disk.orders.empty(); ++turn) {
     for (const auto& order : writer.disk.orders) largest = std::max(largest, order.bytes.size());
-    ++pieces;
+    ++chunks;
     const int between = 100000 + turn;
     writer.write(between);
     writer.disk.run();
-    REQUIRE(writer.safe.contains(between));
+    REQUIRE(writer.durable.contains(between));
   }
-  CHECK(writer.log.rewrites() == 1);
-  CHECK(pieces > 3);
+  CHECK(writer.log.compactions() == 1);
+  CHECK(chunks > 3);
   CHECK(largest <= (1u << 20) + 1000);
   CHECK(writer.log.file_size() < (5u << 20));
-  Writer again(volume);
-  REQUIRE(again.open());
-  CHECK(again.numbers == writer.numbers);
+  Writer reopened(volume);
+  REQUIRE(reopened.open());
+  CHECK(reopened.numbers == writer.numbers);
 }
 
-TEST_CASE("a sound file that is not long is not written again at a start") {
+TEST_CASE("a short valid file is not compacted at the start") {
   SimulatedVolume volume;
   {
     Writer writer(volume);
@@ -233,41 +234,41 @@
     writer.disk.run();
   }
   const std::uint64_t before = volume.operations;
-  Writer again(volume);
-  REQUIRE(again.open());
-  again.log.tick();
-  CHECK_FALSE(again.disk.run());
-  CHECK(volume.operations - before == 2);  // a sync of the file and one of its folder
+  Writer reopened(volume);
+  REQUIRE(reopened.open());
+  reopened.log.tick();
+  CHECK_FALSE(reopened.disk.run());
+  CHECK(volume.operations - before == 2);  // One sync of the file and one of its folder.
 }
 
 TEST_CASE(
-    "a disk with a limit keeps room for a rewrite: nothing new is taken in beyond it, and what grew is rewritten") {
+    "with a disk limit, room for a compaction is reserved: no new records beyond it, and a grown file is compacted") {
   constexpr std::size_t limit = 40u << 20;
   SimulatedVolume volume;
   LogFiles files(volume);
   Writer::DirectDisk disk(files);
   World world(5);
   SimulatedTimers timers(world, std::make_shared<Life>());
-  std::size_t held = 1u << 20;
+  std::size_t live_bytes = 1u << 20;
   RecordLog::Contents contents;
-  contents.head = [] {
+  contents.header = [] {
     return std::vector<DiskEntry>{};
   };
-  contents.slot = [&](std::uint32_t) {
+  contents.slot_entries = [&](std::uint32_t) {
     DiskEntry entry = change_of(1);
-    entry.change.head = Bytes(held / slot_count, 'h');
+    entry.change.head = Bytes(live_bytes / slot_count, 'h');
     return std::vector<DiskEntry>{entry};
   };
-  contents.size = [&] {
-    return held;
+  contents.total_bytes = [&] {
+    return live_bytes;
   };
   RecordLog log(disk, timers, contents, limit);
   REQUIRE(files.open());
   log.start(std::get<ReadFile>(log.load()));
   CHECK(log.has_room());
-  held = 18u << 20;  // twice this and the reserve are more than the limit
+  live_bytes = 18u << 20;  // Twice this size plus the reserve exceeds the limit.
   CHECK_FALSE(log.has_room());
-  held = 12u << 20;
+  live_bytes = 12u << 20;
   CHECK(log.has_room());
   DiskEntry large = change_of(2);
   large.change.head = Bytes(1u << 20, 'l');
@@ -278,59 +279,59 @@
   CHECK_FALSE(log.has_room());
   log.tick();
   while (disk.run()) REQUIRE(volume.total() < limit);
-  CHECK(log.rewrites() == 1);
+  CHECK(log.compactions() == 1);
   CHECK(volume.total() < (14u << 20));
   CHECK(log.has_room());
 }
 
 namespace {
-// A log on a disk of limited room, whose memory holds as many bytes as a test says.
+// A log on a disk of limited size. The size of its records in memory is set by the test.
 struct LimitedLog {
-  explicit LimitedLog(std::size_t held_bytes) : held(held_bytes) {
+  explicit LimitedLog(std::size_t initial_bytes) : live_bytes(initial_bytes) {
     volume.capacity = limit;
     REQUIRE(files.open());
     log.start(std::get<ReadFile>(log.load()));
   }
   RecordLog::Contents contents() {
-    RecordLog::Contents made;
-    made.head = [] {
+    RecordLog::Contents contents;
+    contents.header = [] {
       return std::vector<DiskEntry>{};
     };
-    made.slot = [this](std::uint32_t) {
+    contents.slot_entries = [this](std::uint32_t) {
       DiskEntry entry = change_of(1);
-      entry.change.head = Bytes(held / slot_count, 'h');
+      entry.change.head = Bytes(live_bytes / slot_count, 'h');
       return std::vector<DiskEntry>{entry};
     };
-    made.size = [this] {
-      return held;
+    contents.total_bytes = [this] {
+      return live_bytes;
     };
-    return made;
+    return contents;
   }
   void append_megabyte() {
     DiskEntry large = change_of(2);
     large.change.head = Bytes(1u << 20, 'l');
     ++appended;
-    log.append(large, [this] { ++safe; });
+    log.append(large, [this] { ++durable; });
   }
   static constexpr std::size_t limit = 40u << 20;
-  std::size_t held;
+  std::size_t live_bytes;
   SimulatedVolume volume;
   LogFiles files{volume};
   Writer::DirectDisk disk{files};
   World world{5};
   SimulatedTimers timers{world, std::make_shared<Life>()};
   RecordLog log{disk, timers, contents(), limit};
-  int appended = 0, safe = 0;
+  int appended = 0, durable = 0;
 };
 }  // namespace
 
-TEST_CASE("a rewrite that comes to fill the disk is abandoned, and no append fails for its sake") {
+TEST_CASE("a compaction that would fill the disk is abandoned, and no append fails because of it") {
   LimitedLog limited(12u << 20);
   while (limited.log.file_size() < (24u << 20)) limited.append_megabyte();
   limited.disk.run();
   limited.log.tick();
   REQUIRE_FALSE(limited.disk.orders.empty());
-  // Far more comes during the rewrite than it was begun for.
+  // Many more appends come during the compaction than there is room for.
   while (limited.log.file_size() < (36u << 20)) {
     limited.append_megabyte();
     limited.append_megabyte();
@@ -338,25 +339,25 @@
   }
   while (limited.disk.run()) {}
   CHECK_FALSE(limited.log.failed());
-  CHECK(limited.safe == limited.appended);
-  CHECK(limited.log.rewrites() == 0);
+  CHECK(limited.durable == limited.appended);
+  CHECK(limited.log.compactions() == 0);
   limited.log.tick();
   CHECK_FALSE(limited.disk.run());
   CHECK(limited.volume.total() == limited.log.file_size());
 }
 
-TEST_CASE("a disk with a limit has room for new state only where what is still to come fits as well") {
+TEST_CASE("with a disk limit, new records are accepted only if their announced growth fits as well") {
   LimitedLog limited(4u << 20);
   while (limited.log.file_size() < (10u << 20)) limited.append_megabyte();
   limited.disk.run();
   CHECK(limited.log.has_room());
   CHECK(limited.log.has_room(20u << 20));
   CHECK_FALSE(limited.log.has_room(30u << 20));
-  CHECK(limited.log.takes(20u << 20));
-  CHECK_FALSE(limited.log.takes(30u << 20));
+  CHECK(limited.log.has_room_for_entry(20u << 20));
+  CHECK_FALSE(limited.log.has_room_for_entry(30u << 20));
 }
 
-TEST_CASE("what an end of the process left of a rewrite is removed at the next start, and leaves its room to appends") {
+TEST_CASE("an unfinished compaction of an earlier process is removed at the start, which frees its room for appends") {
   LimitedLog limited(12u << 20);
   while (limited.log.file_size() < (24u << 20)) limited.append_megabyte();
   limited.disk.run();
@@ -368,7 +369,7 @@
   CHECK(limited.volume.total() == limited.log.file_size());
 }
 
-TEST_CASE("no rewrite begins for which the disk has no room, and the file grows to its limit instead") {
+TEST_CASE("no compaction starts without room for it on the disk, and the file grows up to its limit instead") {
   LimitedLog limited(19u << 20);
   while (limited.log.file_size() < (34u << 20)) {
     limited.append_megabyte();
@@ -377,6 +378,6 @@
     while (limited.disk.run()) REQUIRE(limited.volume.total() < LimitedLog::limit);
   }
   CHECK_FALSE(limited.log.failed());
-  CHECK(limited.safe == limited.appended);
-  CHECK(limited.log.rewrites() == 0);
+  CHECK(limited.durable == limited.appended);
+  CHECK(limited.log.compactions() == 0);
 }
--- a/tests/record_file_test.cpp
+++ b/tests/record_file_test.cpp
@@ -1,4 +1,4 @@
-// The record file: a torn tail is cut at every length, damage in the middle is told apart from it.
+// Reading of record files: truncation at every length, and how damage is distinguished from an incomplete end.
 #include <boost/crc.hpp>
 #include <catch2/catch.hpp>
 
@@ -17,33 +17,33 @@
 }
 }  // namespace
 
-TEST_CASE("a file torn at any byte gives back all whole records before it") {
+TEST_CASE("a file truncated at any byte returns all complete records before that byte") {
   const Bytes first = frame_entry(change(1), 0), second = frame_entry(change(2), first.size());
-  const Bytes whole = first + second;
-  for (std::size_t length = 0; length <= whole.size(); ++length) {
-    const ReadFile file = read_frames(StringView(whole).substr(0, length));
-    CHECK(file.entries.size() == (length >= whole.size() ? 2 : length >= first.size() ? 1 : 0));
+  const Bytes file_bytes = first + second;
+  for (std::size_t length = 0; length <= file_bytes.size(); ++length) {
+    const ReadFile file = read_frames(StringView(file_bytes).substr(0, length));
+    CHECK(file.entries.size() == (length >= file_bytes.size() ? 2 : length >= first.size() ? 1 : 0));
     CHECK_FALSE(file.damaged);
-    CHECK(file.torn == (length != 0 && length != first.size() && length != whole.size()));
+    CHECK(file.torn == (length != 0 && length != first.size() && length != file_bytes.size()));
   }
 }
 
-TEST_CASE("a flipped byte anywhere before a sound record is damage; in the last record it is a torn tail") {
+TEST_CASE("a flipped bit anywhere before a valid record is damage; in the last record it is an incomplete end") {
   const Bytes first = frame_entry(change(1), 0), second = frame_entry(change(2), first.size());
   const Bytes third = frame_entry(change(3), first.size() + second.size());
-  const Bytes whole = first + second + third;
-  for (std::size_t at = 0; at < whole.size(); ++at) {
-    Bytes bad = whole;
-    bad[at] = static_cast<char>(bad[at] ^ 0x10);
-    const ReadFile file = read_frames(bad);
+  const Bytes file_bytes = first + second + third;
+  for (std::size_t offset = 0; offset < file_bytes.size(); ++offset) {
+    Bytes damaged_bytes = file_bytes;
+    damaged_bytes[offset] = static_cast<char>(damaged_bytes[offset] ^ 0x10);
+    const ReadFile file = read_frames(damaged_bytes);
     CHECK(file.entries.size() < 3);
-    CHECK(file.damaged == (at < first.size() + second.size()));
+    CHECK(file.damaged == (offset < first.size() + second.size()));
   }
 }
 
-TEST_CASE("a hole in what was never synced is a torn tail, though a sound record stands behind it") {
+TEST_CASE("a gap in unsynced bytes is an incomplete end, even if a valid record follows it") {
   const Bytes first = frame_entry(change(1), 0);
-  // Both were written before either was synced, and the loss of power kept only the later one.
+  // Both records were written before either was synced, and the power failure kept only the second one.
   const Bytes lost(frame_entry(change(2), first.size()).size(), '\0');
   const Bytes kept = frame_entry(change(3), first.size());
   const ReadFile file = read_frames(first + lost + kept);
@@ -53,14 +53,14 @@
   CHECK(file.sound_bytes == first.size());
 }
 
-TEST_CASE("a hole in what a later record states as synced is damage, by a byte more or less") {
+TEST_CASE("a gap is damage exactly if a later record states at least its first byte as synced") {
   const Bytes first = frame_entry(change(1), 0);
   const Bytes lost(frame_entry(change(2), 0).size(), '\0');
   CHECK_FALSE(read_frames(first + lost + frame_entry(change(3), first.size())).damaged);
   CHECK(read_frames(first + lost + frame_entry(change(3), first.size() + 1)).damaged);
 }
 
-TEST_CASE("frames of earlier versions are read, and each stands for the bytes before it") {
+TEST_CASE("frames of earlier versions are read, and each implies that the bytes before it were synced") {
   DiskEntry entry = change(4);
   const Bytes payload = to_cbor(entry);
   auto earlier = [&] {
@@ -73,10 +73,10 @@
     for (int shift = 0; shift < 32; shift += 8) frame.push_back(static_cast<char>((crc.checksum() >> shift) & 255));
     return frame + payload;
   };
-  const Bytes whole = earlier() + earlier() + earlier();
-  CHECK(read_frames(whole).entries.size() == 3);
-  CHECK_FALSE(read_frames(whole).torn);
-  Bytes bad = whole;
-  bad[earlier().size() + 20] ^= 1;
-  CHECK(read_frames(bad).damaged);
+  const Bytes file_bytes = earlier() + earlier() + earlier();
+  CHECK(read_frames(file_bytes).entries.size() == 3);
+  CHECK_FALSE(read_frames(file_bytes).torn);
+  Bytes damaged_bytes = file_bytes;
+  damaged_bytes[earlier().size() + 20] ^= 1;
+  CHECK(read_frames(damaged_bytes).damaged);
 }
