--- a/source/routes/events.cpp
+++ b/source/routes/events.cpp
@@ -1,4 +1,4 @@
-// Events are told apart by their blank lines; a run's ids rise one by one.
+// Blank lines separate events, and the ids of one run are consecutive numbers.
 #include "routes/events.hpp"
 
 #include <utility>
@@ -6,15 +6,15 @@
 namespace mothwalk {
 
 void EventReader::begin(std::optional<std::uint64_t> last) {
-  held_.clear();
-  line_ = 0;
-  id_.reset();
+  buffer_.clear();
+  line_start_ = 0;
+  current_id_.reset();
   next_version_.reset();
-  last_ = last;
+  last_id_ = last;
 }
 
 namespace {
-// The value after "name:" and at most one space, where the line begins with that.
+// Returns the value of a line of the form "name: value", where the space is optional.
 std::optional<StringView> value_of(StringView line, StringView name) {
   if (name.empty() || !line.starts_with(name) || line.size() <= name.size() || line[name.size()] != ':')
     return std::nullopt;
@@ -24,12 +24,12 @@
 }
 
 std::optional<std::uint64_t> event_id(StringView text) {
-  constexpr std::size_t most_digits = 18;
-  if (text.empty() || text.size() > most_digits) return std::nullopt;
+  constexpr std::size_t max_digits = 18;
+  if (text.empty() || text.size() > max_digits) return std::nullopt;
   std::uint64_t number = 0;
-  for (const char letter : text) {
-    if (letter < '0' || letter > '9') return std::nullopt;
-    number = number * 10 + static_cast<std::uint64_t>(letter - '0');
+  for (const char digit : text) {
+    if (digit < '0' || digit > '9') return std::nullopt;
+    number = number * 10 + static_cast<std::uint64_t>(digit - '0');
   }
   return number;
 }
@@ -37,34 +37,34 @@
 
 void EventReader::read_line(StringView line) {
   if (const auto text = value_of(line, "id")) {
-    if (const auto number = event_id(*text)) id_ = number;
+    if (const auto number = event_id(*text)) current_id_ = number;
   } else if (const auto version = value_of(line, version_field_)) {
     next_version_ = std::string(*version);
   }
 }
 
 bool EventReader::take(StringView bytes, Bytes& out) {
-  std::size_t from = held_.size(), whole = 0;
-  held_.append(bytes);
-  for (std::size_t end; (end = held_.find('\n', from)) != Bytes::npos; from = line_ = end + 1) {
-    StringView line = StringView(held_).substr(line_, end - line_);
+  std::size_t from = buffer_.size(), complete = 0;
+  buffer_.append(bytes);
+  for (std::size_t end; (end = buffer_.find('\n', from)) != Bytes::npos; from = line_start_ = end + 1) {
+    StringView line = StringView(buffer_).substr(line_start_, end - line_start_);
     if (line.ends_with('\r')) line.remove_suffix(1);
     if (line.empty()) {
-      if (id_ && last_ && *id_ != *last_ + 1) {
-        out.append(held_, 0, whole);
+      if (current_id_ && last_id_ && *current_id_ != *last_id_ + 1) {
+        out.append(buffer_, 0, complete);
         return false;
       }
-      if (id_) last_ = id_;
-      id_.reset();
+      if (current_id_) last_id_ = current_id_;
+      current_id_.reset();
       if (next_version_) version_ = std::exchange(next_version_, std::nullopt);
-      whole = end + 1;
+      complete = end + 1;
     } else {
       read_line(line);
     }
   }
-  out.append(held_, 0, whole);
-  held_.erase(0, whole);
-  line_ -= whole;
+  out.append(buffer_, 0, complete);
+  buffer_.erase(0, complete);
+  line_start_ -= complete;
   return true;
 }
 
--- a/source/routes/events.hpp
+++ b/source/routes/events.hpp
@@ -1,5 +1,5 @@
-// A series of events (text/event-stream) on its way: whole events alone are passed on, and their ids tell where the
-// stream can be taken up by another run without one lost or doubled.
+// Reads a stream of server-sent events (text/event-stream) that is relayed to a client. Only complete events are passed
+// on, and their ids tell from where another runner can resume the stream without losing or repeating an event.
 #pragma once
 #include "mothwalk.hpp"
 
@@ -7,24 +7,31 @@
 
 class EventReader {
  public:
-  // `version_field` names the first line of an event at which the version of the weights changes; empty: none does.
+  // `version_field` is the field name of an event line that announces a new version of the model weights. If it is
+  // empty, events do not announce versions.
   explicit EventReader(StringView version_field = {}) : version_field_(version_field) {}
-  // The events that follow come from a run that goes on after `last`; what was held back of the run before is dropped.
+  // Starts reading the stream of another run, whose first event follows the id `last`. The buffered bytes of an
+  // incomplete event are dropped.
   void begin(std::optional<std::uint64_t> last);
-  // Puts the whole events among the bytes that came into `out`, unchanged; false where their ids do not go on.
+  // Reads `bytes` and appends all events that are now complete to `out`, unchanged. Returns false if their ids are not
+  // consecutive.
   bool take(StringView bytes, Bytes& out);
-  std::optional<std::uint64_t> last() const { return last_; }
-  // The version that the last whole event to change it told; none: no event did.
+  // Returns the id of the last complete event.
+  std::optional<std::uint64_t> last() const { return last_id_; }
+  // Returns the version announced last by a complete event, if any.
   const std::optional<std::string>& version() const { return version_; }
-  const Bytes& rest() const { return held_; }  // begun, and not ended yet
+  // Returns the buffered bytes of an incomplete event.
+  const Bytes& rest() const { return buffer_; }
 
  private:
   void read_line(StringView line);
-  Bytes held_;
+  Bytes buffer_;
   std::string version_field_;
-  std::optional<std::string> version_, next_version_;  // of the whole events; of the event being read
-  std::size_t line_ = 0;                               // where the line being read begins
-  std::optional<std::uint64_t> last_, id_;             // of the last whole event; of the one being read
+  // The versions announced by the complete events and by the event that is being read.
+  std::optional<std::string> version_, next_version_;
+  std::size_t line_start_ = 0;  // The position in `buffer_` of the line that is being read.
+  // The ids of the last complete event and of the event that is being read.
+  std::optional<std::uint64_t> last_id_, current_id_;
 };
 
 }  // namespace mothwalk
--- a/source/routes/hop_headers.cpp
+++ b/source/routes/hop_headers.cpp
@@ -1,4 +1,4 @@
-// Selection of the headers that go from end to end.
+// Selection of the end-to-end headers of a message.
 #include "routes/hop_headers.hpp"
 
 #include <algorithm>
@@ -7,11 +7,11 @@
 
 namespace {
 
-bool hop_by_hop(StringView name) {
-  for (const StringView each :
+bool always_hop_by_hop(StringView name) {
+  for (const StringView candidate :
        {"connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "proxy-authenticate",
         "proxy-authorization", "proxy-connection", "content-length", "expect"})
-    if (same_name(name, each)) return true;
+    if (same_name(name, candidate)) return true;
   return false;
 }
 
@@ -21,8 +21,8 @@
   return word;
 }
 
-// Whether the comma-separated list has the name, in any case.
-bool lists(StringView list, StringView name) {
+// Returns whether the comma-separated list contains the name, ignoring case.
+bool list_contains(StringView list, StringView name) {
   while (!list.empty()) {
     const auto comma = std::min(list.find(','), list.size());
     if (same_name(trimmed(list.substr(0, comma)), name)) return true;
@@ -33,14 +33,15 @@
 
 }  // namespace
 
-std::vector<Header> end_to_end(const std::vector<Header>& headers, bool length) {
+std::vector<Header> end_to_end(const std::vector<Header>& headers, bool keep_content_length) {
   const std::string* connection = header_of(headers, "Connection");
   std::vector<Header> kept;
   kept.reserve(headers.size() + 4);
   for (const auto& header : headers) {
-    const bool stays_behind = hop_by_hop(header.name) || (connection != nullptr && lists(*connection, header.name));
-    const bool wanted_length = length && same_name(header.name, "Content-Length");
-    if (!stays_behind || wanted_length) kept.push_back(header);
+    const bool is_hop_by_hop =
+        always_hop_by_hop(header.name) || (connection != nullptr && list_contains(*connection, header.name));
+    const bool wanted_length = keep_content_length && same_name(header.name, "Content-Length");
+    if (!is_hop_by_hop || wanted_length) kept.push_back(header);
   }
   return kept;
 }
--- a/tests/events_test.cpp
+++ b/tests/events_test.cpp
@@ -1,11 +1,12 @@
-// Streams of events as they are taken up at another runner: whole events alone, none lost and none doubled.
+// Streams of server-sent events that another runner resumes: only complete events are passed on, none is lost or
+// repeated.
 #include <catch2/catch.hpp>
 
 #include "routes/events.hpp"
 
 using namespace mothwalk;
 
-TEST_CASE("events are passed whole and unchanged, however their bytes come") {
+TEST_CASE("complete events are passed on unchanged, whatever chunks their bytes arrive in") {
   const Bytes text =
       "id: 1\ndata: a\n\n: a comment\n\nid:2\r\ndata: b\r\ndata: c\r\n\r\nweights: 3\nid: 3\ndata: d\n\n";
   for (std::size_t step = 1; step <= text.size(); ++step) {
@@ -21,7 +22,7 @@
   }
 }
 
-TEST_CASE("the version of the weights is that of the last whole event that changed it") {
+TEST_CASE("the version of the weights is that of the last complete event that changed it") {
   EventReader reader("weights");
   reader.begin(std::nullopt);
   Bytes out;
@@ -29,13 +30,13 @@
   CHECK_FALSE(reader.version().has_value());
   REQUIRE(reader.take("weights: 7\nid: 2\ndata: b\n\nweights: 8\nid: 3\ndata: c\n", out));
   CHECK(reader.version() == "7");
-  // The event that changed it to 8 was broken off: another run begins after event 2.
+  // The event that changed the version to 8 is incomplete, so another run begins after event 2.
   reader.begin(reader.last());
   REQUIRE(reader.take("id: 3\ndata: c\n\n", out));
   CHECK(reader.version() == "7");
 }
 
-TEST_CASE("what a run broke off in the middle of an event is dropped, and the next run must go on at the next id") {
+TEST_CASE("an incomplete event is dropped when its run ends, and the next run must continue with the next id") {
   EventReader reader;
   reader.begin(std::nullopt);
   Bytes out;
