--- a/tests/dialect_router_test.cpp
+++ b/tests/dialect_router_test.cpp
@@ -1,7 +1,8 @@
-// Live requests where callers and runners say more: shares, prompt parts, budgets, promises, cold runners.
+// Live requests with a dialect whose headers carry more: weighted kinds, prompt parts, time budgets, guarantees that a
+// request did not run, and cold runners.
 #include "speaking_fixture.hpp"
 
-TEST_CASE("an attempt is meant for its runner and carries what is left of the caller's budget, within the lane's") {
+TEST_CASE("an attempt names its runner and carries the client's remaining time, at most the lane's limit") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 2);
   fixture.say("/pay", {{"Budget", "1500"}});
@@ -10,10 +11,10 @@
   CHECK(fixture.told(1, "Left") == "5000");
 }
 
-TEST_CASE("the caller's budget ends a request at that moment: not run where it waited, unknown where it was sent") {
+TEST_CASE("when the client's time budget ends, a waiting request is refused, and a sent one has the outcome unknown") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 1);
-  ALLOW_CALL(fixture.exchange, cancel(_));
+  ALLOW_CALL(fixture.runner_client, cancel(_));
   auto sent = fixture.say("/pay", {{"Budget", "300"}});
   fixture.shared_state.lease_until = 1;
   auto waited = fixture.say("/pay", {{"Budget", "300"}});
@@ -23,7 +24,7 @@
   CHECK((sent->status == 504 && waited->status == 503 && waited->outcome == "refused"));
 }
 
-TEST_CASE("a lane for a host goes before one for any, and headers that concern one connection stay behind") {
+TEST_CASE("a lane for the request's host has precedence over one for any host, and hop-by-hop headers are removed") {
   SpeakingFixture fixture;
   fixture.put("kind/other", R"({})");
   fixture.put("runner/four", R"({"kind":"other","address":"10.0.1.9:80","zone":"north","slots":2})");
@@ -40,8 +41,7 @@
          fixture.told(0, "Host") == "Here.example:80"));
 }
 
-TEST_CASE(
-    "a lane's shares are met closely in any row of its requests; others stand in for a kind without able runners") {
+TEST_CASE("requests are spread over a lane's kinds by weight; another kind replaces one without usable runners") {
   SpeakingFixture fixture;
   fixture.put("kind/other", R"({})");
   fixture.put("runner/four", R"({"kind":"other","address":"10.0.1.9:80","zone":"north","slots":100})");
@@ -70,7 +70,7 @@
   }
 }
 
-TEST_CASE("no path is unknown to a daemon that may not have heard of the newest lanes") {
+TEST_CASE("a daemon without a lease lets requests for unknown paths wait until it has the newest lanes") {
   SpeakingFixture fixture;
   fixture.shared_state.lease_until = fixture.world.now().microseconds - 1;
   auto early = fixture.say("/new", {});
@@ -85,7 +85,7 @@
   CHECK(never->status == 404);
 }
 
-TEST_CASE("a request that waits goes the way of the newest lanes") {
+TEST_CASE("a waiting request follows a change of its lane") {
   SpeakingFixture fixture;
   fixture.shared_state.lease_until = 1;
   fixture.say("/pay", {});
@@ -102,7 +102,7 @@
   CHECK(fixture.attempts[0].request.to.text == "10.0.1.9:80");
 }
 
-TEST_CASE("work that a runner promises not to have run goes to another one, within the lane's attempts") {
+TEST_CASE("a request that its runner guarantees not to have run is retried within the lane's attempts, then refused") {
   for (const int status : {503, 429, 421}) {
     SpeakingFixture fixture;
     EXPECT_ATTEMPTS(fixture, 2);
@@ -116,7 +116,7 @@
   }
 }
 
-TEST_CASE("a runner's failure without that promise is its answer; repeatable work goes to another runner first") {
+TEST_CASE("an error status without that guarantee is relayed; a repeatable request is retried elsewhere first") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 4);
   auto pay = fixture.say("/pay", {});
@@ -133,7 +133,7 @@
   CHECK((wrong->status == 404 && wrong->outcome == "answer"));
 }
 
-TEST_CASE("another instance at a runner's address is left alone until the list of runners may have told of it") {
+TEST_CASE("a runner address with another instance gets no requests until the list of runners may be up to date") {
   SpeakingFixture fixture;
   fixture.put("circle/model", R"({"members":["one"],"warm":["one"]})");
   EXPECT_ATTEMPTS(fixture, 2);
@@ -148,10 +148,10 @@
   CHECK(fixture.attempts.size() == 2);
 }
 
-TEST_CASE("an answer that belongs to another request is given to nobody, and what became of this one is unknown") {
+TEST_CASE("a response that belongs to another request is discarded, and the outcome of the request is unknown") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 3);
-  REQUIRE_CALL(fixture.exchange, cancel(_)).TIMES(2);
+  REQUIRE_CALL(fixture.runner_client, cancel(_)).TIMES(2);
   auto pay = fixture.say("/pay", {{"Id", "a"}});
   fixture.attempts[0].watcher->on_head(200, {{"Id", "b"}});
   CHECK((pay->status == 502 && pay->outcome == "unknown"));
@@ -160,7 +160,7 @@
   CHECK((stream->status == 0 && fixture.attempts.size() == 3));
 }
 
-TEST_CASE("a refusal that its runner does not promise is unknown to the caller, and repeatable work goes elsewhere") {
+TEST_CASE("a refusal without its runner's guarantee has the outcome unknown; a repeatable request is retried") {
   SpeakingFixture fixture;
   fixture.put("lane/tell", R"({"path":"/tell","kind":"model","repeatable":true,"attempts":2})");
   EXPECT_ATTEMPTS(fixture, 3);
@@ -174,7 +174,7 @@
   CHECK(tell->status == 200);
 }
 
-TEST_CASE("each try of a request is handed less time, and no more than is left to its caller") {
+TEST_CASE("each attempt of a request gets no more time than the client has left") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 2);
   fixture.say("/stream", {{"Budget", "1500"}});
@@ -184,22 +184,22 @@
   CHECK((fixture.told(0, "Left") == "1500" && fixture.told(1, "Left") == "800"));
 }
 
-TEST_CASE("requests with a prefix in common go to one runner while its load allows, and the prefixes spread") {
+TEST_CASE("requests with the same prefix go to the same runner while its load allows, and prefixes are distributed") {
   SpeakingFixture fixture;
   fixture.put("lane/pay", R"({"path":"/pay","kind":"model","affinity":true})");
   EXPECT_ATTEMPTS(fixture, 203);
-  std::map<std::string, int> spread;
+  std::map<std::string, int> attempts_by_runner;
   for (std::size_t prefix = 0; prefix < 100; ++prefix) {
     for (std::size_t count = 0; count < 2; ++count) {
       fixture.say("/pay", {{"Prefix", "p" + std::to_string(prefix)}});
       fixture.whole(2 * prefix + count);
     }
     CHECK(fixture.told(2 * prefix, "Runner") == fixture.told(2 * prefix + 1, "Runner"));
-    ++spread[fixture.told(2 * prefix, "Runner")];
+    ++attempts_by_runner[fixture.told(2 * prefix, "Runner")];
   }
-  CHECK(spread.size() == 3);
-  for (const auto& [runner, count] : spread) CHECK((count > 15 && count < 55));
-  // Two that run there already leave no room for a third.
+  CHECK(attempts_by_runner.size() == 3);
+  for (const auto& [runner, count] : attempts_by_runner) CHECK((count > 15 && count < 55));
+  // Two requests that run on a runner leave no room for a third one.
   std::set<std::string> used;
   for (std::size_t count = 0; count < 3; ++count) {
     fixture.say("/pay", {{"Prefix", "p0"}});
@@ -208,7 +208,7 @@
   CHECK(used.size() >= 2);
 }
 
-TEST_CASE("an engine's memory is a limit as its slots are") {
+TEST_CASE("the memory of an engine limits its requests like its slots do") {
   SpeakingFixture fixture;
   fixture.put("kind/model", R"({"engine":{"memory_tokens":12000}})");
   fixture.put("circle/model", R"({"members":["one"],"warm":["one"]})");
@@ -218,8 +218,8 @@
   CHECK(fixture.attempts.size() == 2);
 }
 
-// Guards against: one request larger than a runner's memory held up all that came behind it until it was refused.
-TEST_CASE("a request that no runner can hold beside others keeps none behind it from the runners") {
+// Guards against a request larger than a runner's memory that delays all later requests until it is refused.
+TEST_CASE("a request that needs an idle runner does not block the requests behind it") {
   SpeakingFixture fixture;
   fixture.put("kind/model", R"({"engine":{"memory_tokens":12000}})");
   fixture.put("circle/model", R"({"members":["one"],"warm":["one"]})");
@@ -234,7 +234,7 @@
   CHECK((large->status == 503 && large->outcome == "refused"));
 }
 
-TEST_CASE("what a runner tells of its load counts as others' work on it") {
+TEST_CASE("the load that a runner reports counts as load by other daemons") {
   SpeakingFixture fixture;
   fixture.put("circle/model", R"({"members":["one","two"],"warm":["one","two"]})");
   EXPECT_ATTEMPTS(fixture, 3);
@@ -247,8 +247,8 @@
   }
 }
 
-TEST_CASE("a cold runner gets nothing while a warm one is able, and little from all daemons together otherwise") {
-  // Six daemons of one fleet, which know no more of each other than that they are six.
+TEST_CASE("a cold runner gets no requests while a warm one is usable, and otherwise few from all daemons together") {
+  // Six daemons that know nothing of each other but their number.
   std::vector<std::int64_t> offered;
   for (int index = 1; index <= 6; ++index) {
     SpeakingFixture fixture;
@@ -274,7 +274,7 @@
     const Bytes listed = to_cbor(listing);
     REQUIRE(put_in_view(fixture.view, listing_key, &listed, Stamp{Epoch{1}, Version{1}}));
     fixture.put("circle/model", R"({"members":["cold","warm"],"warm":["cold","warm"]})");
-    ALLOW_CALL(fixture.exchange, start(_, _))
+    ALLOW_CALL(fixture.runner_client, start(_, _))
         .LR_SIDE_EFFECT(fixture.attempts.push_back({_1, _2}))
         .LR_RETURN(fixture.attempts.size());
     for (int count = 0; count < 20; ++count) fixture.say("/pay", {});
@@ -299,7 +299,7 @@
                         [&](std::int64_t at) { return at >= from && at < from + 1000000; }) <= 10 * 1.5 + 5);
 }
 
-TEST_CASE("nothing goes to a zone that is evacuated while a request waits, or to a leaving runner") {
+TEST_CASE("a waiting request is not sent to a runner in a zone that is being evacuated") {
   SpeakingFixture fixture;
   fixture.put("runner/three", R"({"kind":"model","address":"10.0.1.3:80","zone":"south","slots":2})");
   fixture.shared_state.lease_until = 1;
@@ -311,7 +311,7 @@
   for (const auto& attempt : fixture.attempts) CHECK(attempt.request.runner == "three");
 }
 
-TEST_CASE("a daemon that drains serves what comes over open connections where it is set to") {
+TEST_CASE("a draining daemon serves requests over open connections if it is configured to") {
   SpeakingFixture fixture;
   fixture.router.serves_while_draining = true;
   fixture.shared_state.draining = true;
@@ -321,11 +321,11 @@
   CHECK((seen->status == 200 && seen->ended));
 }
 
-TEST_CASE("no request outlasts the drain: one that waits is refused in time, one that was sent ends as unknown") {
+TEST_CASE("at the drain deadline a waiting request is refused, and a sent one has the outcome unknown") {
   SpeakingFixture fixture;
   fixture.router.serves_while_draining = true;
   EXPECT_ATTEMPTS(fixture, 2);
-  ALLOW_CALL(fixture.exchange, cancel(_));
+  ALLOW_CALL(fixture.runner_client, cancel(_));
   auto begun = fixture.say("/stream", {{"Budget", "5000"}});
   fixture.attempts[0].watcher->on_head(200, {});
   auto sent = fixture.say("/pay", {{"Budget", "5000"}});
@@ -346,13 +346,13 @@
   CHECK((begun->status == 200 && begun->ended));
 }
 
-TEST_CASE("a caller that will miss its aim is told so early, with when to come back; one that will not waits on") {
+TEST_CASE("a request that will miss its lane's target time is refused early; one that can meet it keeps waiting") {
   SpeakingFixture fixture;
   fixture.put("lane/pay", R"({"path":"/pay","kind":"model","aim":1000,"waiting":5000})");
-  ALLOW_CALL(fixture.exchange, start(_, _))
+  ALLOW_CALL(fixture.runner_client, start(_, _))
       .LR_SIDE_EFFECT(fixture.attempts.push_back({_1, _2}))
       .LR_RETURN(fixture.attempts.size());
-  // Nine run; the lane answers two a second, and five wait.
+  // Nine requests run and five wait, and the lane answers two requests a second.
   std::vector<std::shared_ptr<Seen>> seen;
   for (int count = 0; count < 11; ++count) seen.push_back(fixture.say("/pay", {}));
   fixture.whole(0);
@@ -365,7 +365,7 @@
   CHECK(fixture.router.counts().refusals.at("busy") < 5);
 }
 
-TEST_CASE("work that may not be repeated stays with a silent runner; a runner that answers others is not silent") {
+TEST_CASE("a runner that answers one request counts as responsive, and unrepeatable requests are not moved") {
   SpeakingFixture fixture;
   fixture.put("circle/model", R"({"members":["one"],"warm":["one"]})");
   fixture.put("lane/once",
@@ -390,7 +390,7 @@
   CHECK(once->ended);
 }
 
-TEST_CASE("a very long prompt goes to members that read such ones, others to the rest, while these have room") {
+TEST_CASE("very long prompts and other prompts go to separate members while these have room") {
   SpeakingFixture fixture;
   fixture.put("kind/model", R"({"engine":{"memory_tokens":8000000}})");
   std::string members;
@@ -401,7 +401,7 @@
     members += (members.empty() ? "\"" : ",\"") + name + "\"";
   }
   fixture.put("circle/model", "{\"members\":[" + members + "],\"warm\":[" + members + "]}");
-  ALLOW_CALL(fixture.exchange, start(_, _))
+  ALLOW_CALL(fixture.runner_client, start(_, _))
       .LR_SIDE_EFFECT(fixture.attempts.push_back({_1, _2}))
       .LR_RETURN(fixture.attempts.size());
   std::set<std::string> large, small;
@@ -421,7 +421,7 @@
   for (const auto& name : large) CHECK_FALSE(small.contains(name));
 }
 
-TEST_CASE("a daemon that knows of no lane at all denies none") {
+TEST_CASE("a daemon that knows no lanes at all does not answer that a path has no lane") {
   SpeakingFixture fixture;
   const ConfigurationView whole = fixture.view;
   fixture.shared_state.configuration.set(ConfigurationView{});
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -1,4 +1,4 @@
-// A fixture for live requests: the router over a mocked exchange, under virtual time.
+// A fixture for tests of live requests: a router with a mocked runner client and virtual time.
 #pragma once
 #include <catch2/catch.hpp>
 #include <trompeloeil.hpp>
@@ -11,24 +11,27 @@
 
 namespace {
 
-class MockExchange : public RunnerClient {
+class MockRunnerClient : public RunnerClient {
  public:
   MAKE_MOCK2(start, Id(const AttemptRequest&, std::shared_ptr<AttemptObserver>), override);
   MAKE_MOCK1(cancel, void(Id), override);
   MAKE_MOCK2(hold, void(Id, bool), override);
 };
 
-class SilentWire : public Transport {
+// Drops all messages to other daemons.
+class DiscardingTransport : public Transport {
  public:
   void send(const Address&, Envelope) override {}
 };
 
+// What a client received.
 struct Seen {
   int status = 0;
   std::string outcome, retry_after, text;
   bool ended = false, broken = false;
 };
 
+// Records the response of a request in a Seen.
 class SeeingCaller : public ResponseSink {
  public:
   explicit SeeingCaller(std::shared_ptr<Seen> seen) : seen_(std::move(seen)) {}
@@ -50,14 +53,16 @@
   std::shared_ptr<Seen> seen_;
 };
 
+// A router in a daemon with a lease, with three runners in the circle of the kind "model" and one runner outside it.
+// Requests of the lane "pay" may not be repeated, those of the lane "tell" may.
 struct Fixture {
   simulate::World world{7};
   simulate::LifePointer life = std::make_shared<simulate::Life>();
   simulate::SimulatedTimers timers{world, life};
-  SilentWire wire;
-  Messenger messenger{wire, timers, Address("10.0.0.1:1"), 1, "routes"};
+  DiscardingTransport transport;
+  Messenger messenger{transport, timers, Address("10.0.0.1:1"), 1, "routes"};
   SharedState shared_state;
-  MockExchange exchange;
+  MockRunnerClient runner_client;
   Router router;
   struct Attempt {
     AttemptRequest request;
@@ -73,12 +78,13 @@
     return member;
   }
   ConfigurationView view;
+  // Puts a resource, given as JSON, into the router's configuration.
   void put(const std::string& key, const Bytes& value) {
     REQUIRE(put_in_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   explicit Fixture(const Dialect& dialect = plain_dialect())
-      : router(messenger, shared_state, exchange, world.random, self(), dialect) {
+      : router(messenger, shared_state, runner_client, world.random, self(), dialect) {
     put("kind/model", R"({"refusals":[429]})");
     put("lane/pay", R"({"path":"/pay","kind":"model","retries":2,"waiting":500})");
     put("lane/tell", R"({"path":"/tell","kind":"model","repeatable":true,"retries":2,"waiting":500})");
@@ -97,23 +103,25 @@
   }
   void lease() { shared_state.lease_until = (world.now() + std::chrono::hours(1)).microseconds; }
   void wait(Duration span) { world.run_until(world.now() + span); }
-  std::shared_ptr<Seen> ask(const std::string& target, Router::Id* id = nullptr,
-                            std::shared_ptr<SeeingCaller>* caller = nullptr) {
+  // Submits a request to the router, and returns what its client will have received.
+  std::shared_ptr<Seen> submit(const std::string& target, Router::Id* id = nullptr,
+                               std::shared_ptr<SeeingCaller>* sink_out = nullptr) {
     auto seen = std::make_shared<Seen>();
-    auto side = std::make_shared<SeeingCaller>(seen);
-    if (caller != nullptr) *caller = side;
-    const auto given = router.arrive(LiveRequest{"POST",
-                                                 target,
-                                                 {{"Connection", "keep-alive"}, {"X-Request-Id", "r"}},
-                                                 std::make_shared<const Bytes>("body")},
-                                     side);
-    if (id != nullptr) *id = given;
+    auto sink = std::make_shared<SeeingCaller>(seen);
+    if (sink_out != nullptr) *sink_out = sink;
+    const auto request_id = router.arrive(LiveRequest{"POST",
+                                                      target,
+                                                      {{"Connection", "keep-alive"}, {"X-Request-Id", "r"}},
+                                                      std::make_shared<const Bytes>("body")},
+                                          sink);
+    if (id != nullptr) *id = request_id;
     return seen;
   }
 };
 
+// Requires that the router starts exactly `count` attempts, and records them in the fixture.
 #define EXPECT_ATTEMPTS(fixture, count)                       \
-  REQUIRE_CALL((fixture).exchange, start(_, _))               \
+  REQUIRE_CALL((fixture).runner_client, start(_, _))          \
       .TIMES(count)                                           \
       .LR_SIDE_EFFECT((fixture).attempts.push_back({_1, _2})) \
       .LR_RETURN((fixture).attempts.size())
--- a/tests/stream_router_test.cpp
+++ b/tests/stream_router_test.cpp
@@ -1,11 +1,12 @@
-// Streams that break, go on elsewhere, or outlast their lane.
+// Streams that are interrupted, resumed at another runner, or continue after their lane was removed.
 #include "speaking_fixture.hpp"
 
 namespace {
 
-// A stream, and a request that may run twice, whose only runner broke off: both wait for it. The stream has its head.
-struct BrokenOffFixture : SpeakingFixture {
-  BrokenOffFixture() {
+// A stream and a repeatable request whose only runner aborted both responses. Both wait for the runner to be usable
+// again, and the stream's client has received the response head.
+struct InterruptedFixture : SpeakingFixture {
+  InterruptedFixture() {
     put("lane/tell", R"({"path":"/tell","kind":"model","repeatable":true,"attempts":3,"waiting":2000,"whole":5000})");
     put("lane/stream",
         R"({"path":"/stream","kind":"model","streaming":true,"resumable":true,"attempts":3,"waiting":2000,"whole":5000})");
@@ -21,17 +22,18 @@
     REQUIRE(put_in_view(view, key, nullptr, Stamp{}));
     shared_state.configuration.set(view);
   }
-  std::unique_ptr<trompeloeil::expectation> sending =
-      NAMED_ALLOW_CALL(exchange, start(_, _)).LR_SIDE_EFFECT(attempts.push_back({_1, _2})).LR_RETURN(attempts.size());
+  std::unique_ptr<trompeloeil::expectation> sending = NAMED_ALLOW_CALL(runner_client, start(_, _))
+                                                          .LR_SIDE_EFFECT(attempts.push_back({_1, _2}))
+                                                          .LR_RETURN(attempts.size());
   std::shared_ptr<Seen> stream, request;
 };
 
 }  // namespace
 
-// Guards against: a 404 of this daemon's own in the middle of a caller's event stream.
-TEST_CASE("a stream that waits for a runner goes on to its end when its lane is removed or becomes one of lots") {
+// Guards against a 404 error reply of this daemon in the middle of a client's event stream.
+TEST_CASE("a stream that waits for a runner is resumed even if its lane is removed or becomes a batch lane") {
   for (const bool removed : {true, false}) {
-    BrokenOffFixture fixture;
+    InterruptedFixture fixture;
     CHECK((fixture.stream->status == 200 && fixture.attempts.size() == 2));
     if (removed)
       fixture.remove("lane/stream");
@@ -51,9 +53,9 @@
   }
 }
 
-// Guards against: the same where nothing is left that the stream could go on at.
-TEST_CASE("a stream that waits for a runner breaks off visibly when its lane and its kind of runner are removed") {
-  BrokenOffFixture fixture;
+// Guards against the same error reply when no kind of runner is left that could resume the stream.
+TEST_CASE("a stream that waits for a runner is visibly aborted if its lane and its kind of runner are removed") {
+  InterruptedFixture fixture;
   fixture.remove("lane/stream");
   fixture.remove("kind/model");
   fixture.wait(std::chrono::milliseconds(100));
@@ -62,15 +64,16 @@
   CHECK(fixture.router.counts().breaks.at("lane") == 1);
 }
 
-// Guards against: "refused", which promises that nothing ran, for a request that a runner had begun.
-TEST_CASE("a request that may have run is unknown, not refused, when its lane is removed while it waits") {
-  BrokenOffFixture fixture;
+// Guards against the outcome "refused", which guarantees that the request did not run, for a request that a runner
+// began.
+TEST_CASE("a waiting request that may have run has the outcome unknown, not refused, if its lane is removed") {
+  InterruptedFixture fixture;
   fixture.remove("lane/tell");
   fixture.wait(std::chrono::milliseconds(100));
   CHECK((fixture.request->status == 502 && fixture.request->outcome == "unknown"));
 }
 
-TEST_CASE("a stream that breaks goes on at another runner inside the same answer, with no event lost or doubled") {
+TEST_CASE("an interrupted stream is resumed at another runner in the same response, and no event is lost or repeated") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 2);
   auto seen = fixture.say("/stream", {});
@@ -87,11 +90,11 @@
   CHECK(fixture.router.counts().resumed == 1);
 }
 
-TEST_CASE("a stream that does not go on in order, under the same weights, or within the attempts, breaks off visibly") {
+TEST_CASE("a stream is visibly aborted if it cannot resume in order, with the same weights and within the attempts") {
   for (const std::string how : {"gap", "double", "version", "refused", "again"}) {
     SpeakingFixture fixture;
     EXPECT_ATTEMPTS(fixture, 2);
-    ALLOW_CALL(fixture.exchange, cancel(_));
+    ALLOW_CALL(fixture.runner_client, cancel(_));
     auto seen = fixture.say("/stream", {});
     fixture.attempts[0].watcher->on_head(200, {{"Version", "1"}});
     fixture.attempts[0].watcher->on_chunk("id: 1\ndata: a\n\n");
@@ -110,7 +113,7 @@
   }
 }
 
-TEST_CASE("a stream is taken up on the weights of its last whole event, and a runner with others sends it on") {
+TEST_CASE("a stream is resumed with the weights of its last complete event, and retried if a runner has others") {
   SpeakingFixture fixture;
   fixture.put("lane/stream",
               R"({"path":"/stream","kind":"model","streaming":true,"resumable":true,"attempts":3,"whole":5000})");
@@ -129,14 +132,14 @@
   fixture.attempts[2].watcher->on_chunk("id: 3\ndata: c\n\n");
   fixture.attempts[2].watcher->on_end(AttemptOutcome::whole);
   CHECK((seen->ended && seen->text == "id: 1\ndata: a\n\nweights: 2\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"));
-  // It is the runner named in the list all the same, and gets the next request.
+  // The runner that rejected the stream is still the listed instance, so it gets the next request.
   fixture.put("circle/model", R"({"members":[")" + fixture.told(1, "Runner") + R"("],"warm":[]})");
   fixture.wait(std::chrono::milliseconds(200));
   fixture.say("/pay", {});
   CHECK(fixture.attempts.size() == 4);
 }
 
-TEST_CASE("a stream that ends inside an event was broken off, and goes on elsewhere") {
+TEST_CASE("a stream that ends inside an event is resumed at another runner") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 2);
   auto seen = fixture.say("/stream", {});
@@ -151,10 +154,10 @@
   CHECK((seen->ended && seen->text == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"));
 }
 
-TEST_CASE("a stream and a waiting request end at the lane's time at once, however far they are") {
+TEST_CASE("a stream and an unanswered request end when the lane's total time limit is reached") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 2);
-  REQUIRE_CALL(fixture.exchange, cancel(_)).TIMES(2);
+  REQUIRE_CALL(fixture.runner_client, cancel(_)).TIMES(2);
   auto stream = fixture.say("/stream", {});
   auto silent = fixture.say("/pay", {});
   fixture.attempts[0].watcher->on_head(200, {});
@@ -170,10 +173,10 @@
   CHECK(fixture.router.open() == 0);
 }
 
-TEST_CASE("a stream asked for from an event on must begin with the next one") {
+TEST_CASE("a stream that the client requests from an event id on must begin with the next id") {
   SpeakingFixture fixture;
   EXPECT_ATTEMPTS(fixture, 1);
-  ALLOW_CALL(fixture.exchange, cancel(_));
+  ALLOW_CALL(fixture.runner_client, cancel(_));
   auto seen = fixture.say("/stream", {{"Last", "7"}});
   CHECK(fixture.told(0, "After") == "7");
   fixture.attempts[0].watcher->on_head(200, {});
@@ -181,7 +184,7 @@
   CHECK((seen->broken && seen->text.empty()));
 }
 
-TEST_CASE("a runner that goes dark under streams is left: they go on elsewhere, and it gets nothing new meanwhile") {
+TEST_CASE("a stream moves to another runner if its runner stops responding, and that one gets no new requests") {
   SpeakingFixture fixture;
   fixture.put("circle/model", R"({"members":["one","two"],"warm":["one","two"]})");
   fixture.put(
@@ -189,26 +192,26 @@
       R"({"path":"/stream","kind":"model","streaming":true,"resumable":true,"attempts":2,"aim":250,"gap":200,"whole":5000})");
   fixture.put("lane/once",
               R"({"path":"/once","kind":"model","streaming":true,"attempts":1,"aim":250,"gap":200,"whole":5000})");
-  ALLOW_CALL(fixture.exchange, start(_, _))
+  ALLOW_CALL(fixture.runner_client, start(_, _))
       .LR_SIDE_EFFECT(fixture.attempts.push_back({_1, _2}))
       .LR_RETURN(fixture.attempts.size());
   auto first = fixture.say("/stream", {});
-  const std::string dark = fixture.told(0, "Runner");
+  const std::string unresponsive = fixture.told(0, "Runner");
   fixture.attempts[0].watcher->on_head(200, {});
   fixture.attempts[0].watcher->on_chunk("id: 1\ndata: a\n\n");
-  // Silent for a while, as a stream may be.
+  // A stream may send nothing for this long.
   fixture.wait(std::chrono::milliseconds(500));
   CHECK(fixture.attempts.size() == 1);
-  REQUIRE_CALL(fixture.exchange, cancel(1)).TIMES(1);
+  REQUIRE_CALL(fixture.runner_client, cancel(1)).TIMES(1);
   fixture.wait(std::chrono::milliseconds(300));
   REQUIRE(fixture.attempts.size() == 2);
-  CHECK((fixture.told(1, "Runner") != dark && fixture.told(1, "After") == "1"));
+  CHECK((fixture.told(1, "Runner") != unresponsive && fixture.told(1, "After") == "1"));
   fixture.attempts[1].watcher->on_head(200, {});
   fixture.attempts[1].watcher->on_chunk("id: 2\ndata: b\n\n");
   fixture.attempts[1].watcher->on_end(AttemptOutcome::whole);
   CHECK((first->text == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n" && first->ended));
   for (std::size_t count = 2; count < 5; ++count) {
     fixture.say("/once", {});
-    CHECK(fixture.told(count, "Runner") != dark);
+    CHECK(fixture.told(count, "Runner") != unresponsive);
   }
 }
