--- a/source/routes/connection_shares.hpp
+++ b/source/routes/connection_shares.hpp
@@ -1,46 +1,53 @@
-// How the connections that each runner of a kind takes from all daemons together are shared out among the daemons.
-// Every daemon computes the shares alone, from the members and runners that it knows. Where a runner takes enough
-// connections for all daemons, each of them has the same share of it; otherwise each daemon keeps to a subset of the
-// runners. What the shares leave of a runner goes, one each, to daemons that may visit it: open a connection for one
-// request. Shares and visits of one runner never add up to more than it takes.
+// Divides the connections that each runner of a kind accepts among the daemons that send requests to it.
+//
+// Every daemon computes the shares on its own, from the daemons and runners that it knows. If a runner accepts enough
+// connections for all daemons, each daemon has the same share of every runner; otherwise each daemon uses only a subset
+// of the runners. Connections of a runner that the shares leave over are granted, one each, to daemons as extra
+// connections: such a daemon may open one connection beyond its share for a single request. The shares and extra
+// connections of one runner never add up to more than it accepts.
 #pragma once
 #include "sessions/shared_state.hpp"
 
 namespace mothwalk {
 
 struct ConnectionLimit {
-  std::uint32_t of_runner = 0;  // connections that one runner takes from all daemons together; 0: no bound
-  std::uint32_t spare = 0;      // of these, left out of the shares where that leaves at least half of them
-  std::size_t daemons = 0;      // the shares are made for at least so many, whether they are known by name or not
+  // The number of connections that one runner accepts from all daemons together; 0 means no limit.
+  std::uint32_t per_runner = 0;
+  // The number of these that are kept out of the shares, as long as at least half remains for the shares.
+  std::uint32_t reserved = 0;
+  // The shares are computed for at least this many daemons, even if fewer are known by name.
+  std::size_t daemons = 0;
 };
 
 class ConnectionShares {
  public:
-  struct Place {
-    std::string name;  // of a runner, or the address of a daemon
+  struct Endpoint {
+    std::string name;  // The name of a runner, or the address of a daemon.
     ZoneId zone;
   };
   ConnectionShares() = default;
-  ConnectionShares(const std::vector<Place>& daemons, const std::vector<Place>& runners, const ConnectionLimit& limit);
+  ConnectionShares(const std::vector<Endpoint>& daemons, const std::vector<Endpoint>& runners,
+                   const ConnectionLimit& limit);
 
   bool limited() const { return even_share_ > 0 || !subsets_.empty(); }
-  // The connections that a daemon may keep to a runner; 0: the runner is not in its subset.
-  std::uint32_t of(const std::string& daemon, const std::string& runner) const;
-  std::vector<std::string> runners() const;  // that subsets are made of
-  // Whether a daemon may have one connection over its share, for one request.
-  bool may_visit(const std::string& daemon, const std::string& runner) const;
-  // The daemons whose subset has the runner; none where all daemons share all runners.
+  // Returns how many connections the daemon may keep to the runner; 0 if the runner is not in its subset.
+  std::uint32_t share_of(const std::string& daemon, const std::string& runner) const;
+  // Returns the runners that are divided into subsets; empty if all daemons share all runners.
+  std::vector<std::string> subset_runners() const;
+  // Returns whether the daemon may open one connection beyond its share, for a single request.
+  bool has_extra_connection(const std::string& daemon, const std::string& runner) const;
+  // Returns the daemons whose subset contains the runner; nullptr if all daemons share all runners.
   const std::set<std::string>* users_of(const std::string& runner) const;
 
  private:
   struct Ranking;
-  void divide(const Ranking& ranking, std::uint32_t shared, std::size_t count);
-  void admit_beside_even(const Ranking& ranking, std::size_t room);
-  void admit_beside_subsets(const Ranking& ranking, std::size_t usable, std::size_t count);
+  void assign_subsets(const Ranking& ranking, std::uint32_t shared, std::size_t count);
+  void grant_extra_beside_even_shares(const Ranking& ranking, std::size_t room);
+  void grant_extra_beside_subsets(const Ranking& ranking, std::size_t usable, std::size_t count);
 
   std::uint32_t even_share_ = 0;
-  std::map<std::string, std::set<std::string>> subsets_;   // by runner: the daemons that have one connection to it
-  std::map<std::string, std::set<std::string>> visitors_;  // by runner
+  std::map<std::string, std::set<std::string>> subsets_;      // By runner: the daemons that have one connection to it.
+  std::map<std::string, std::set<std::string>> extra_users_;  // By runner: the daemons with an extra connection.
 };
 
 }  // namespace mothwalk
--- a/source/routes/router.cpp
+++ b/source/routes/router.cpp
@@ -1,4 +1,5 @@
-// The table of live requests: arrival, time, callers that leave, and reports of load to the circle duty.
+// The table of live requests: arrivals, deadlines, clients that disconnect, and load reports to the component that
+// maintains the circle of a kind (the set of runners that take live requests).
 #include "routes/router.hpp"
 
 #include <algorithm>
@@ -7,27 +8,31 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Duration tick_span = milliseconds(20);  // between looks at what waits or is held
-constexpr Duration report_span = std::chrono::seconds(1), soon_span = milliseconds(80);
-constexpr std::uint64_t warned_wait_milliseconds = 100;  // of all requests together, in the time of a report
+// The interval between checks of the waiting and the paused requests.
+constexpr Duration tick_interval = milliseconds(20);
+// The interval between load reports, and the delay before an early report of failures.
+constexpr Duration report_interval = std::chrono::seconds(1), early_report_delay = milliseconds(80);
+// The total waiting time of all requests within one report interval above which a warning is logged.
+constexpr std::uint64_t warned_wait_milliseconds = 100;
 }  // namespace
 
-Router::Router(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
+Router::Router(Messenger& messenger, SharedState& shared_state, RunnerClient& runner_client, RandomSource& random,
                Member self, const Dialect& dialect)
     : messenger_(messenger),
       shared_state_(shared_state),
-      runner_client_(exchange),
+      runner_client_(runner_client),
       random_(random),
       self_(self),
       dialect_(dialect),
       runner_table_(messenger, shared_state, random, std::move(self)) {
-  runner_table_.subset_left = [this](const Address& to, const std::string& runner) {
+  runner_table_.on_subset_left = [this](const Address& to, const std::string& runner) {
     runner_client_.close_idle(to, runner);
   };
 }
 
 namespace {
-class DiscardingCaller : public ResponseSink {
+// Takes the place of the sink of a disconnected client.
+class DiscardingSink : public ResponseSink {
  public:
   void head(int, const std::vector<Header>&) override {}
   void piece(StringView) override {}
@@ -38,13 +43,13 @@
 }  // namespace
 
 void Router::start() {
-  messenger_.timers().after(report_span, [this] { report_each(); });
+  messenger_.timers().after(report_interval, [this] { report_periodically(); });
 }
 
 void Router::arm_tick() {
-  if (tick_armed_ || (waiting_.empty() && held_.empty())) return;
+  if (tick_armed_ || (waiting_.empty() && paused_.empty())) return;
   tick_armed_ = true;
-  messenger_.timers().after(tick_span, [this] {
+  messenger_.timers().after(tick_interval, [this] {
     tick_armed_ = false;
     tick();
   });
@@ -52,11 +57,11 @@
 
 void Router::tick() {
   const TimePoint now = messenger_.timers().now();
-  for (const Id id : std::vector<Id>(held_.begin(), held_.end())) {
-    Record& record = table_.at(id);
-    if (!follow_slow(record, now)) break_off(record, "slow caller");
+  for (const Id id : std::vector<Id>(paused_.begin(), paused_.end())) {
+    Record& record = requests_.at(id);
+    if (!check_backpressure(record, now)) abort_response(record, "slow caller");
   }
-  passes();
+  dispatch();
 }
 
 void Router::arm_deadline() {
@@ -72,34 +77,36 @@
     while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
       const Id id = deadlines_.begin()->second;
       deadlines_.erase(deadlines_.begin());
-      expire(table_.at(id));
+      expire(requests_.at(id));
     }
-    passes();
+    dispatch();
     arm_deadline();
   });
   deadline_timer_ = std::make_pair(first, timer);
 }
 
 void Router::expire(Record& record) {
-  const bool ending = answer_by_ && messenger_.timers().now() >= *answer_by_;
-  const std::string reason = ending ? "draining" : "whole";
-  const std::string span = ending ? "before this daemon shut down" : "within the lane's whole budget";
-  if (record.state == State::waiting) return refuse(record, reason, "no runner was free " + span);
-  if (record.state == State::relaying) return ending ? void() : break_off(record, reason);  // it may end in time
-  leave(record);
-  give_unknown(record, 504, reason, "the runner did not answer " + span);
+  const bool draining = drain_deadline_ && messenger_.timers().now() >= *drain_deadline_;
+  const std::string reason = draining ? "draining" : "whole";
+  const std::string limit = draining ? "before this daemon shut down" : "within the lane's total time limit";
+  if (record.state == State::waiting) return refuse(record, reason, "no runner was free " + limit);
+  if (record.state == State::relaying)
+    // During a drain the response may still end in time.
+    return draining ? void() : abort_response(record, reason);
+  cancel_attempt(record);
+  reply_unknown(record, 504, reason, "the runner did not answer " + limit);
 }
 
 void Router::set_state(Record& record, State state) {
-  const Place place{record.lane.rank, record.arrived, record.id};
+  const QueueKey key{record.lane.rank, record.arrived, record.id};
   if (record.state == State::waiting && state != State::waiting) {
-    waiting_.erase(place);
+    waiting_.erase(key);
     count_wait(record);
   }
-  if (state == State::waiting) waiting_.insert(place);
-  if (record.held_since && state != State::relaying) {
-    record.held_since.reset();
-    held_.erase(record.id);
+  if (state == State::waiting) waiting_.insert(key);
+  if (record.paused_since && state != State::relaying) {
+    record.paused_since.reset();
+    paused_.erase(record.id);
   }
   if (state == State::finished && record.state != State::finished) {
     finished_.push_back(record.id);
@@ -108,143 +115,146 @@
   record.state = state;
 }
 
-Router::Id Router::arrive(LiveRequest request, std::shared_ptr<ResponseSink> caller) {
+Router::Id Router::arrive(LiveRequest request, std::shared_ptr<ResponseSink> sink) {
   ++counts_.arrived;
   const Id id = ++last_id_;
-  Record& record = table_[id];
+  Record& record = requests_[id];
   record.id = id;
   record.request = std::move(request);
-  record.caller = std::move(caller);
+  record.sink = std::move(sink);
   record.arrived = record.waiting_since = messenger_.timers().now();
-  record.facts = dialect_.read_request(record.request.headers);
-  record.last_event = record.facts.last_event;
+  record.info = dialect_.read_request(record.request.headers);
+  record.last_event = record.info.last_event;
   retry_tokens_ = std::min(100.0, retry_tokens_ + 0.2);
   if (admit(record)) {
     set_state(record, State::waiting);
-    passes();
+    dispatch();
   } else {
-    finish_pass();
+    erase_finished();
   }
   arm_deadline();
   arm_tick();
-  arm_watch();
+  arm_watchdog();
   return id;
 }
 
-void Router::passes() {
-  if (in_passes_) {
-    passes_wanted_ = true;
+void Router::dispatch() {
+  if (dispatching_) {
+    dispatch_again_ = true;
     return;
   }
-  in_passes_ = true;
+  dispatching_ = true;
   do {
-    passes_wanted_ = false;
-    if (!waiting_.empty()) match_pass();
-    finish_pass();
-  } while (passes_wanted_);
-  in_passes_ = false;
+    dispatch_again_ = false;
+    if (!waiting_.empty()) dispatch_waiting();
+    erase_finished();
+  } while (dispatch_again_);
+  dispatching_ = false;
   arm_tick();
-  if (runner_table_.report_soon && !report_armed_) {
+  if (runner_table_.early_report_needed && !report_armed_) {
     report_armed_ = true;
-    messenger_.timers().after(soon_span, [this] {
+    messenger_.timers().after(early_report_delay, [this] {
       report_armed_ = false;
-      if (runner_table_.report_soon) report();
+      if (runner_table_.early_report_needed) report_load();
     });
   }
 }
 
-void Router::finish_pass() {
-  for (const Id id : std::exchange(finished_, {})) table_.erase(id);
+void Router::erase_finished() {
+  for (const Id id : std::exchange(finished_, {})) requests_.erase(id);
 }
 
 std::size_t Router::waiting_in(const std::string& lane) const {
-  return static_cast<std::size_t>(std::count_if(waiting_.begin(), waiting_.end(), [&](const Place& place) {
-    return table_.at(std::get<Id>(place)).lane_name == lane;
+  return static_cast<std::size_t>(std::count_if(waiting_.begin(), waiting_.end(), [&](const QueueKey& key) {
+    return requests_.at(std::get<Id>(key)).lane_name == lane;
   }));
 }
 
-// The caller of a run that may be repeated, or of a stream, takes its runner's work with it.
+// The attempt is cancelled if the request may be repeated or its response is a stream.
 void Router::gone(Id id) {
-  auto found = table_.find(id);
-  if (found == table_.end() || found->second.state == State::finished) return;
+  auto found = requests_.find(id);
+  if (found == requests_.end() || found->second.state == State::finished) return;
   Record& record = found->second;
-  ++counts_.callers_gone;
-  if (record.state != State::waiting && !record.repeatable && !record.lane.streaming) return abandon(record);
-  if (record.state != State::waiting) leave(record);
+  ++counts_.client_disconnects;
+  if (record.state != State::waiting && !record.repeatable && !record.lane.streaming) return detach_client(record);
+  if (record.state != State::waiting) cancel_attempt(record);
   set_state(record, State::finished);
-  passes();
+  dispatch();
 }
 
-// Work that may not be repeated is not stopped halfway where it may have begun: its run ends unseen, and is not sent
-// to another runner.
-void Router::abandon(Record& record) {
-  record.abandoned = true;
-  record.caller = std::make_shared<DiscardingCaller>();
+// A request that may not be repeated is not interrupted once it may have begun: its run ends without a client, and it
+// is not sent to another runner.
+void Router::detach_client(Record& record) {
+  record.client_detached = true;
+  record.sink = std::make_shared<DiscardingSink>();
 }
 
 void Router::count_wait(const Record& record) {
   const Duration waited = messenger_.timers().now() - record.waiting_since;
-  if (record.obstacle == Obstacle::none || record.kinds.empty() || waited <= Duration{}) return;
-  Waits& waits = counts_.waits[record.kinds.front() + " " + std::string(name_of(record.obstacle))];
+  if (record.block_reason == BlockReason::none || record.kinds.empty() || waited <= Duration{}) return;
+  Waits& waits = counts_.waits[record.kinds.front() + " " + std::string(name_of(record.block_reason))];
   ++waits.requests;
   waits.milliseconds += static_cast<std::uint64_t>(waited.count() / 1000);
 }
 
-// What has held requests up since the last warning, where that is worth a line.
-void Router::warn_of_troubles() {
+// Logs what delayed requests or made attempts fail since the last warning, unless it was insignificant.
+void Router::warn_about_problems() {
   std::string sentence;
   for (const auto& [what, waits] : counts_.waits) {
-    Waits& told = waits_told_[what];
-    const std::uint64_t requests = waits.requests - told.requests, span = waits.milliseconds - told.milliseconds;
-    if (span >= warned_wait_milliseconds)
+    Waits& reported = reported_waits_[what];
+    const std::uint64_t requests = waits.requests - reported.requests,
+                        delay = waits.milliseconds - reported.milliseconds;
+    if (delay >= warned_wait_milliseconds)
       sentence +=
-          " " + std::to_string(requests) + " requests waited " + std::to_string(span) + " ms for '" + what + "'.";
-    told = waits;
+          " " + std::to_string(requests) + " requests waited " + std::to_string(delay) + " ms for '" + what + "'.";
+    reported = waits;
   }
   for (const auto& [what, count] : counts_.attempts_failed) {
-    std::uint64_t& told = attempts_failed_told_[what];
-    if (count > told) sentence += " " + std::to_string(count - told) + " attempts ended: " + what + ".";
-    told = count;
+    std::uint64_t& reported = reported_attempts_failed_[what];
+    if (count > reported) sentence += " " + std::to_string(count - reported) + " attempts ended: " + what + ".";
+    reported = count;
   }
-  if (counts_.strays > strays_told_)
-    sentence +=
-        " " + std::to_string(counts_.strays - strays_told_) + " requests went over connections without a right.";
-  strays_told_ = counts_.strays;
+  // The soak test finds these counts in the logs by the text of this message.
+  if (counts_.over_share > reported_over_share_)
+    sentence += " " + std::to_string(counts_.over_share - reported_over_share_) +
+                " requests went over connections without a right.";
+  reported_over_share_ = counts_.over_share;
   if (!sentence.empty()) warn(StringView(sentence).substr(1));
 }
 
-void Router::report_each() {
+void Router::report_periodically() {
   answered_last_ = std::exchange(answered_now_, {});
-  warn_of_troubles();
-  report();
-  messenger_.timers().after(report_span, [this] { report_each(); });
+  warn_about_problems();
+  report_load();
+  messenger_.timers().after(report_interval, [this] { report_periodically(); });
 }
 
-void Router::report() {
-  runner_table_.report_soon = false;
+void Router::report_load() {
+  runner_table_.early_report_needed = false;
   const auto configuration = shared_state_.configuration.get();
   const auto members = shared_state_.members.get();
   std::map<std::string, std::uint32_t> queued;
-  for (const auto& place : waiting_)
-    if (const Record& record = table_.at(std::get<Id>(place)); !record.kinds.empty()) ++queued[record.kinds.front()];
-  std::map<std::string, std::size_t> strays;
-  for (const auto& [id, record] : table_)
-    if (record.stray && (record.state == State::sent || record.state == State::relaying)) ++strays[record.runner];
-  for (const auto& [kind, entry] : configuration->kinds) {
-    const Voter* seat = slot_owner(configuration->roster, *members, slot_of("circle/" + kind));
-    if (seat == nullptr) continue;
+  for (const auto& key : waiting_)
+    if (const Record& record = requests_.at(std::get<Id>(key)); !record.kinds.empty()) ++queued[record.kinds.front()];
+  std::map<std::string, std::size_t> over_share;
+  for (const auto& [id, record] : requests_)
+    if (record.over_share && (record.state == State::sent || record.state == State::relaying))
+      ++over_share[record.runner];
+  for (const auto& [kind, resource] : configuration->kinds) {
+    const Voter* voter = slot_owner(configuration->roster, *members, slot_of("circle/" + kind));
+    if (voter == nullptr) continue;
     LoadReport report;
     report.runner_kind = kind;
     report.incarnation = messenger_.incarnation();
-    report.runners = runner_table_.load(*configuration, kind, entry.spec);
+    report.runners = runner_table_.load(*configuration, kind, resource.spec);
     for (auto& [name, load] : report.runners) {
       const std::size_t open = runner_client_.connections(configuration->runners.at(name).spec.address, name);
-      load.connections = static_cast<std::uint32_t>(open - std::min(open, strays[name]));
+      load.connections = static_cast<std::uint32_t>(open - std::min(open, over_share[name]));
     }
     report.queued = queued[kind];
-    messenger_.send(seat->address, report);
+    messenger_.send(voter->address, report);
   }
-  runner_table_.forget_gone(*configuration);
+  runner_table_.erase_removed(*configuration);
 }
 
 }  // namespace mothwalk
--- a/source/routes/router_answers.cpp
+++ b/source/routes/router_answers.cpp
@@ -1,4 +1,4 @@
-// Answers of runners: whose they are, what they promise, and their way to the caller.
+// Responses of runners: checks whom they belong to and what they guarantee, and relays them to the client.
 #include <algorithm>
 
 #include "routes/hop_headers.hpp"
@@ -8,45 +8,51 @@
 
 namespace {
 using std::chrono::milliseconds;
-constexpr Duration stale_listing = milliseconds(1500);  // until the list of runners may have told of another instance
-constexpr Duration refusal_rest = milliseconds(100), busy_rest = milliseconds(30);  // after a runner turned work away
-constexpr std::size_t high_backlog = 256u << 10, low_backlog = 64u << 10;
+// The time until the list of runners is refreshed and can name a new instance at the same address.
+constexpr Duration listing_refresh_time = milliseconds(1500);
+// How long a runner gets no requests after it refused one with a status of its kind's refusals, or rejected one as
+// busy.
+constexpr Duration refusal_pause = milliseconds(100), busy_pause = milliseconds(30);
+// Reading from a runner is paused above the first and resumed below the second size of the client's unread data.
+constexpr std::size_t pause_backlog = 256u << 10, resume_backlog = 64u << 10;
 }  // namespace
 
-void Router::attempt_head(Id id, std::uint64_t attempt, int status, const std::vector<Header>& headers) {
-  auto found = table_.find(id);
-  if (found == table_.end() || found->second.attempt != attempt || found->second.state != State::sent) return;
-  Record& record = found->second;
-  const ResponseInfo facts = dialect_.read_answer(status, headers, record.facts);
-  runner_table_.read(record.runner, record.demand, false);
-  if (facts.load) runner_table_.told(record.runner, *facts.load);
-  if (facts.foreign) {
-    runner_client_.cancel(record.exchange);
-    release(record, AttemptVerdict::sound);
-    again_or(record, true, 502, "foreign", "the runner's answer belonged to another request");
-    return passes();
+void Router::on_attempt_head(Id id, std::uint64_t attempt, int status, const std::vector<Header>& headers) {
+  auto entry = requests_.find(id);
+  if (entry == requests_.end() || entry->second.attempt != attempt || entry->second.state != State::sent) return;
+  Record& record = entry->second;
+  const ResponseInfo response = dialect_.read_answer(status, headers, record.info);
+  runner_table_.response_received(record.runner, record.demand, false);
+  if (response.load) runner_table_.update_load(record.runner, *response.load);
+  if (response.foreign) {
+    runner_client_.cancel(record.attempt_handle);
+    end_attempt(record, AttemptVerdict::success);
+    retry_or_fail(record, true, 502, "foreign", "the runner's response belonged to another request");
+    return dispatch();
   }
-  if (turned_away(record, status, facts)) return passes();
-  if (facts.false_refusal) {
-    release(record, AttemptVerdict::sound);
-    again_or(record, true, 502, "runner", "the runner turned the request away without a promise that it did not run");
-    return passes();
+  if (handle_rejection(record, status, response)) return dispatch();
+  if (response.false_refusal) {
+    end_attempt(record, AttemptVerdict::success);
+    retry_or_fail(record, true, 502, "runner",
+                  "the runner rejected the request without a guarantee that it did not run");
+    return dispatch();
   }
   const bool good = status >= 200 && status < 300;
-  if (!good && record.repeatable && (status >= 500 || record.head_given) && attempts_left(record) &&
+  if (!good && record.repeatable && (status >= 500 || record.head_sent) && attempts_left(record) &&
       retry_tokens_ >= 1) {
-    release(record, AttemptVerdict::sound);
+    end_attempt(record, AttemptVerdict::success);
     record.may_have_run = true;
     retry_tokens_ -= 1;
-    again(record);
-    return passes();
+    retry(record);
+    return dispatch();
   }
-  if (record.head_given) return resumed_head(record, good, facts);
-  relay_head(record, status, headers, facts);
+  if (record.head_sent) return handle_resumed_head(record, good, response);
+  relay_head(record, status, headers, response);
 }
 
-// Takes an answer that promises that the request was not run: it goes to another runner, or is refused.
-bool Router::turned_away(Record& record, int status, const ResponseInfo& facts) {
+// Handles a response which guarantees that the request was not run: the request is sent to another runner or refused.
+// Returns false if the response is not of that kind.
+bool Router::handle_rejection(Record& record, int status, const ResponseInfo& response) {
   const auto configuration = shared_state_.configuration.get();
   const auto kind = configuration->kinds.find(record.kind);
   bool refusal = false;
@@ -54,138 +60,139 @@
     const auto& refusals = kind->second.spec.refusals;
     refusal = std::find(refusals.begin(), refusals.end(), static_cast<std::uint32_t>(status)) != refusals.end();
   }
-  const bool not_run = facts.not_run && (status >= 500 || status == 429 || status == 421);
-  if (!refusal && !facts.other_instance && !not_run) return false;
-  // The answer's rest goes by unseen, so that the connection can be kept.
-  release(record, AttemptVerdict::sound);
-  // A stream that is taken up is turned away by runners with other weights as well.
-  const bool other_weights = record.head_given && !record.version.empty();
-  Duration rest = refusal ? refusal_rest : busy_rest;
-  if (facts.other_instance && !other_weights) rest = stale_listing;
-  runner_table_.rest(record.runner, rest);
-  again_or(record, false, 503, "runner", "the runners refused the request");
+  const bool not_run = response.not_run && (status >= 500 || status == 429 || status == 421);
+  if (!refusal && !response.other_instance && !not_run) return false;
+  // The rest of the response is read and discarded, so that the connection can be reused.
+  end_attempt(record, AttemptVerdict::success);
+  // A stream that is resumed is also rejected by runners with another version of the weights.
+  const bool other_weights = record.head_sent && !record.version.empty();
+  Duration pause = refusal ? refusal_pause : busy_pause;
+  if (response.other_instance && !other_weights) pause = listing_refresh_time;
+  runner_table_.pause_sending(record.runner, pause);
+  retry_or_fail(record, false, 503, "runner", "the runners refused the request");
   return true;
 }
 
-// A stream goes on at another runner under the same weights alone; its caller keeps the first runner's head.
-void Router::resumed_head(Record& record, bool good, const ResponseInfo& facts) {
-  if (!good || facts.version != record.version) {
-    leave(record);
-    ended_broken(record, good ? "version" : "resumed");
-    return passes();
+// A stream is resumed only by a runner with the same version of the weights. The client has the first runner's head.
+void Router::handle_resumed_head(Record& record, bool good, const ResponseInfo& response) {
+  if (!good || response.version != record.version) {
+    cancel_attempt(record);
+    fail_response(record, good ? "version" : "resumed");
+    return dispatch();
   }
   record.events->begin(record.last_event);
   set_state(record, State::relaying);
 }
 
-void Router::relay_head(Record& record, int status, const std::vector<Header>& headers, const ResponseInfo& facts) {
+void Router::relay_head(Record& record, int status, const std::vector<Header>& headers, const ResponseInfo& response) {
   const bool good = status >= 200 && status < 300;
-  const std::string* type = header_of(headers, "Content-Type");
+  const std::string* content_type = header_of(headers, "Content-Type");
   if (good && record.lane.streaming && record.lane.resumable &&
-      (type == nullptr || type->starts_with("text/event-stream")))
+      (content_type == nullptr || content_type->starts_with("text/event-stream")))
     record.events.emplace(dialect_.version_field()).begin(record.last_event);
-  record.version = facts.version;
-  std::vector<Header> given = end_to_end(headers, !record.events);
-  given.insert(given.begin(), Header{"X-Mothwalk-Outcome", "answer"});
+  record.version = response.version;
+  std::vector<Header> forwarded = end_to_end(headers, !record.events);
+  forwarded.insert(forwarded.begin(), Header{"X-Mothwalk-Outcome", "answer"});
   set_state(record, State::relaying);
-  record.head_given = true;
+  record.head_sent = true;
   record.first_piece = messenger_.timers().now() - record.arrived;
-  record.caller->head(status, given);
+  record.sink->head(status, forwarded);
 }
 
-void Router::attempt_piece(Id id, std::uint64_t attempt, StringView piece) {
-  auto found = table_.find(id);
-  if (found == table_.end() || found->second.attempt != attempt || found->second.state != State::relaying) return;
-  Record& record = found->second;
-  runner_table_.read(record.runner, record.demand, !std::exchange(record.read, true));
+void Router::on_attempt_chunk(Id id, std::uint64_t attempt, StringView chunk) {
+  auto entry = requests_.find(id);
+  if (entry == requests_.end() || entry->second.attempt != attempt || entry->second.state != State::relaying) return;
+  Record& record = entry->second;
+  runner_table_.response_received(record.runner, record.demand, !std::exchange(record.body_started, true));
   if (!record.events) {
-    record.caller->piece(piece);
-  } else if (!relay_events(record, piece)) {
-    break_off(record, "order");
-    return passes();
+    record.sink->piece(chunk);
+  } else if (!relay_events(record, chunk)) {
+    abort_response(record, "order");
+    return dispatch();
   }
-  record.backlog = record.caller->backlog();
-  if (record.backlog <= high_backlog || record.held_since) return;
-  record.held_since = messenger_.timers().now();
-  held_.insert(id);
-  runner_client_.hold(record.exchange, true);
+  record.backlog = record.sink->backlog();
+  if (record.backlog <= pause_backlog || record.paused_since) return;
+  record.paused_since = messenger_.timers().now();
+  paused_.insert(id);
+  runner_client_.hold(record.attempt_handle, true);
   arm_tick();
 }
 
-// Passes whole events on; false where they do not go on in order.
-bool Router::relay_events(Record& record, StringView piece) {
-  Bytes whole;
-  const bool in_order = record.events->take(piece, whole);
-  if (!whole.empty()) record.caller->piece(whole);
+// Relays complete events. Returns false if they are not in order.
+bool Router::relay_events(Record& record, StringView chunk) {
+  Bytes complete;
+  const bool in_order = record.events->take(chunk, complete);
+  if (!complete.empty()) record.sink->piece(complete);
   record.last_event = record.events->last();
   if (const auto& version = record.events->version()) record.version = *version;
   return in_order;
 }
 
-void Router::attempt_pause(Id id, std::uint64_t attempt) {
-  auto found = table_.find(id);
-  if (found != table_.end() && found->second.attempt == attempt && found->second.state == State::relaying)
-    found->second.caller->flush();
+void Router::on_attempt_pause(Id id, std::uint64_t attempt) {
+  auto entry = requests_.find(id);
+  if (entry != requests_.end() && entry->second.attempt == attempt && entry->second.state == State::relaying)
+    entry->second.sink->flush();
 }
 
-// Back-pressure: a runner that is held goes on once its caller has taken most of what waits; false where the caller
-// took nothing within its budget.
-bool Router::follow_slow(Record& record, TimePoint now) {
-  const std::size_t backlog = record.caller->backlog();
-  if (backlog < record.backlog) record.held_since = now;
+// Resumes reading from a paused runner once the client has read most of the backlog. Returns false if the client read
+// nothing within the lane's time limit.
+bool Router::check_backpressure(Record& record, TimePoint now) {
+  const std::size_t backlog = record.sink->backlog();
+  if (backlog < record.backlog) record.paused_since = now;
   record.backlog = backlog;
-  if (backlog <= low_backlog) {
-    record.held_since.reset();
-    held_.erase(record.id);
-    runner_client_.hold(record.exchange, false);
+  if (backlog <= resume_backlog) {
+    record.paused_since.reset();
+    paused_.erase(record.id);
+    runner_client_.hold(record.attempt_handle, false);
     return true;
   }
-  return now - *record.held_since < record.lane.taking;
+  return now - *record.paused_since < record.lane.taking;
 }
 
-// A connection over the daemon's share that ends before any answer may have met the runner's limit, which is no failure
-// of the runner; it is left alone for a moment.
-AttemptVerdict Router::verdict_of(const Record& record, AttemptOutcome end) {
-  if (end != AttemptOutcome::late && !record.keep_connection) {
-    runner_table_.rest(record.runner, refusal_rest);
-    counts_.strays_turned_away += record.stray;
-    return AttemptVerdict::nothing;
+// A connection beyond the daemon's share that ends before any response may have exceeded the runner's limit, which is
+// not a failure of the runner. The runner gets no requests for a short time.
+AttemptVerdict Router::verdict_of(const Record& record, AttemptOutcome outcome) {
+  if (outcome != AttemptOutcome::late && !record.keep_connection) {
+    runner_table_.pause_sending(record.runner, refusal_pause);
+    counts_.over_share_rejected += record.over_share;
+    return AttemptVerdict::inconclusive;
   }
-  return end == AttemptOutcome::not_sent ? AttemptVerdict::unreachable : AttemptVerdict::failed;
+  return outcome == AttemptOutcome::not_sent ? AttemptVerdict::unreachable : AttemptVerdict::failed;
 }
 
-void Router::attempt_end(Id id, std::uint64_t attempt, AttemptOutcome end) {
-  auto found = table_.find(id);
-  if (found == table_.end() || found->second.attempt != attempt) return;
-  Record& record = found->second;
-  if (end != AttemptOutcome::whole) ++counts_.attempts_failed[record.kind + " " + std::string(name_of(end))];
+void Router::on_attempt_end(Id id, std::uint64_t attempt, AttemptOutcome outcome) {
+  auto entry = requests_.find(id);
+  if (entry == requests_.end() || entry->second.attempt != attempt) return;
+  Record& record = entry->second;
+  if (outcome != AttemptOutcome::whole) ++counts_.attempts_failed[record.kind + " " + std::string(name_of(outcome))];
   if (record.state == State::relaying) {
-    // A series of events that ends inside an event was broken off, however its end is framed.
-    const bool whole = end == AttemptOutcome::whole && !(record.events && !record.events->rest().empty());
-    release(record, whole ? AttemptVerdict::sound : AttemptVerdict::failed);
-    if (whole) {
-      give_end(record);
+    // A stream that ends inside an event is incomplete, even if the HTTP message is complete.
+    const bool complete = outcome == AttemptOutcome::whole && !(record.events && !record.events->rest().empty());
+    end_attempt(record, complete ? AttemptVerdict::success : AttemptVerdict::failed);
+    if (complete) {
+      complete_response(record);
     } else if (record.events && attempts_left(record) && retry_tokens_ >= 1) {
-      // The next run goes on after the last whole event that the caller got.
+      // The next run resumes after the last complete event that the client received.
       retry_tokens_ -= 1;
       ++counts_.resumed;
-      record.caller->flush();
-      again(record);
+      record.sink->flush();
+      retry(record);
     } else {
-      ended_broken(record, end == AttemptOutcome::late ? "late" : "runner");
+      fail_response(record, outcome == AttemptOutcome::late ? "late" : "runner");
     }
   } else if (record.state == State::sent) {
-    release(record, verdict_of(record, end));
-    // Nothing of it left: this runner was not one that it was sent to.
-    if (end == AttemptOutcome::not_sent && record.lane.attempts > 0) --record.attempts;
-    if (end == AttemptOutcome::not_sent)
-      again_or(record, false, 503, "unreachable", "the runners could not be reached");
-    else if (end == AttemptOutcome::late)
-      again_or(record, true, 504, "late", "the runner gave no answer within the lane's budget");
+    end_attempt(record, verdict_of(record, outcome));
+    // Nothing was sent, so this attempt does not count against the lane's limit.
+    if (outcome == AttemptOutcome::not_sent && record.lane.attempts > 0) --record.attempts;
+    if (outcome == AttemptOutcome::not_sent)
+      retry_or_fail(record, false, 503, "unreachable", "the runners could not be reached");
+    else if (outcome == AttemptOutcome::late)
+      retry_or_fail(record, true, 504, "late", "the runner sent no response within the lane's time limit");
     else
-      again_or(record, true, 502, "broken", "the runner broke off or answered nonsense before its answer began");
+      retry_or_fail(record, true, 502, "broken",
+                    "the runner closed the connection or sent an invalid response before the response head");
   }
-  passes();
+  dispatch();
 }
 
 }  // namespace mothwalk
--- a/source/routes/router_endings.cpp
+++ b/source/routes/router_endings.cpp
@@ -1,4 +1,4 @@
-// Endings of live requests: the runner's answer, a break that the caller sees, "refused" and "unknown".
+// Outcomes of live requests: a complete response, a response that is visibly aborted, "refused" and "unknown".
 #include <algorithm>
 
 #include "coding/json.hpp"
@@ -10,31 +10,31 @@
 using std::chrono::milliseconds;
 }  // namespace
 
-void Router::break_off(Record& record, const std::string& reason) {
-  leave(record);
-  ended_broken(record, reason);
+void Router::abort_response(Record& record, const std::string& reason) {
+  cancel_attempt(record);
+  fail_response(record, reason);
 }
 
-void Router::give_end(Record& record) {
+void Router::complete_response(Record& record) {
   set_state(record, State::finished);
-  if (record.abandoned) return;
+  if (record.client_detached) return;
   count_for_aims(record, true);
   ++counts_.answered;
   ++answered_now_[record.lane_name];
-  record.caller->end();
+  record.sink->end();
 }
 
-void Router::ended_broken(Record& record, const std::string& reason) {
-  if (record.abandoned) return set_state(record, State::finished);
+void Router::fail_response(Record& record, const std::string& reason) {
+  if (record.client_detached) return set_state(record, State::finished);
   count_for_aims(record, false);
   ++counts_.broken;
   ++counts_.breaks[reason];
-  record.caller->break_off();
+  record.sink->break_off();
   set_state(record, State::finished);
 }
 
 void Router::count_for_aims(const Record& record, bool answered) {
-  for (const auto snapshot = shared_state_.configuration.get(); const auto& [name, aim] : snapshot->aims) {
+  for (const auto configuration = shared_state_.configuration.get(); const auto& [name, aim] : configuration->aims) {
     if (aim.spec.lane != record.lane_name) continue;
     AimCounts& counts = counts_.aims[name];
     ++counts.ended;
@@ -44,50 +44,53 @@
 }
 
 void Router::refuse(Record& record, const std::string& reason, const std::string& message) {
-  if (record.may_have_run) return give_unknown(record, 502, reason, message);
-  answer(record, Refusal{503, "refused", reason, true,
-                         Error{ErrorKind::refused, "request", message + "; it was not run and never will be",
-                               "send it again after the time in Retry-After"}});
+  if (record.may_have_run) return reply_unknown(record, 502, reason, message);
+  reply_error(record,
+              ErrorReply{503, "refused", reason, true,
+                         Error{ErrorKind::refused, "request", message + "; the request was not run and never will be",
+                               "send the request again after the time in Retry-After"}});
 }
 
-void Router::give_unknown(Record& record, int status, const std::string& reason, const std::string& message) {
-  const std::string remedy = record.repeatable ? "send it again after the time in Retry-After"
-                                               : "find out whether it took effect before you send it again";
-  answer(record, Refusal{status, "unknown", reason, true,
-                         Error{ErrorKind::unknown, "request", message + "; whether it ran is not known", remedy}});
+void Router::reply_unknown(Record& record, int status, const std::string& reason, const std::string& message) {
+  const std::string remedy = record.repeatable ? "send the request again after the time in Retry-After"
+                                               : "check whether the request took effect before sending it again";
+  reply_error(record, ErrorReply{status, "unknown", reason, true,
+                                 Error{ErrorKind::unknown, "request",
+                                       message + "; it is not known whether the request ran", remedy}});
 }
 
-// A caller that has the head of an answer can be told nothing else any more: its stream breaks off.
-void Router::answer(Record& record, const Refusal& refusal) {
-  if (record.head_given) return ended_broken(record, refusal.reason);
-  const bool unknown = refusal.outcome == "unknown";
-  ++(unknown ? counts_.unknowns : counts_.refusals)[refusal.reason];
-  if (record.abandoned) return set_state(record, State::finished);
+// A client that has received a response head cannot get another status, so its response is aborted instead.
+void Router::reply_error(Record& record, const ErrorReply& reply) {
+  if (record.head_sent) return fail_response(record, reply.reason);
+  const bool unknown = reply.outcome == "unknown";
+  ++(unknown ? counts_.unknowns : counts_.refusals)[reply.reason];
+  if (record.client_detached) return set_state(record, State::finished);
   ++(unknown ? counts_.unknown : counts_.refused);
   count_for_aims(record, false);
-  json::value body = error_to_json(refusal.error);
-  body.as_object()["outcome"] = refusal.outcome;
-  const std::string text = json::serialize(body) + "\n";
-  std::vector<Header> headers{{"X-Mothwalk-Outcome", refusal.outcome},
+  json::value body = error_to_json(reply.error);
+  body.as_object()["outcome"] = reply.outcome;
+  const std::string body_text = json::serialize(body) + "\n";
+  std::vector<Header> headers{{"X-Mothwalk-Outcome", reply.outcome},
                               {"Content-Type", "application/json"},
-                              {"Content-Length", std::to_string(text.size())}};
-  if (refusal.retry_after) headers.push_back({"Retry-After", dialect_.retry_after(come_back(record))});
-  record.caller->head(refusal.status, headers);
-  record.caller->piece(text);
-  record.caller->end();
+                              {"Content-Length", std::to_string(body_text.size())}};
+  if (reply.retry_after) headers.push_back({"Retry-After", dialect_.retry_after(retry_delay(record))});
+  record.sink->head(reply.status, headers);
+  record.sink->piece(body_text);
+  record.sink->end();
   set_state(record, State::finished);
 }
 
-Duration Router::come_back(const Record& record) {
+Duration Router::retry_delay(const Record& record) {
   auto answered = answered_last_.find(record.lane_name);
-  const std::uint64_t pace = std::max<std::uint64_t>(1, answered == answered_last_.end() ? 0 : answered->second);
+  const std::uint64_t answered_per_second =
+      std::max<std::uint64_t>(1, answered == answered_last_.end() ? 0 : answered->second);
   const std::uint64_t waiting = waiting_in(record.lane_name);
-  // Spread a little, so that those who were refused together do not come back together.
+  // The delay is randomized, so that clients that were refused together do not retry together.
   if (record.lane.aim > Duration{}) {
-    const std::uint64_t wait = std::clamp<std::uint64_t>(waiting * 1000 / pace, 50, 2000);
+    const std::uint64_t wait = std::clamp<std::uint64_t>(waiting * 1000 / answered_per_second, 50, 2000);
     return milliseconds(wait + random_.below(1 + wait));
   }
-  const std::uint64_t wait = std::min<std::uint64_t>(30, 1 + waiting / pace);
+  const std::uint64_t wait = std::min<std::uint64_t>(30, 1 + waiting / answered_per_second);
   return std::chrono::seconds(wait + random_.below(1 + wait));
 }
 
