--- a/source/routes/router.hpp
+++ b/source/routes/router.hpp
@@ -125,22 +125,30 @@
   class AttemptListener;
   using QueueKey = std::tuple<std::uint32_t, TimePoint, Id>;  // The lane's rank, the time of arrival and the id.
 
+  // Checks the paused requests for progress of their clients, and dispatches the waiting ones.
   void tick();
   void arm_tick();
   void arm_deadline();
   void arm_watchdog();
+  // Retries the requests whose runners have sent nothing for too long.
   void run_watchdog();
   Duration response_timeout(const Record& record) const;
+  // Ends a request whose deadline has passed.
   void expire(Record& record);
+  // Sends waiting requests to runners and erases finished ones, until nothing is left to do. Nested calls only request
+  // another round.
   void dispatch();
   void dispatch_waiting();
   void erase_finished();
   void wait(Record& record);
   void set_state(Record& record, State state);
   bool check_backpressure(Record& record, TimePoint now);
+  // Cancels the attempt and aborts the response.
   void abort_response(Record& record, const std::string& reason);
   void complete_response(Record& record);
+  // Lets the request run to its end after its client disconnected.
   void detach_client(Record& record);
+  // Aborts the response visibly, for an attempt that has ended already.
   void fail_response(Record& record, const std::string& reason);
   void count_for_aims(const Record& record, bool answered);
   bool admit(Record& record);
--- a/source/routes/router_answers.cpp
+++ b/source/routes/router_answers.cpp
@@ -37,6 +37,7 @@
                   "the runner rejected the request without a guarantee that it did not run");
     return dispatch();
   }
+  // A server error of a repeatable request is retried, and so is any other status where a stream should be resumed.
   const bool good = status >= 200 && status < 300;
   if (!good && record.repeatable && (status >= 500 || record.head_sent) && attempts_left(record) &&
       retry_tokens_ >= 1) {
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -125,7 +125,7 @@
     }
     CHECK(fixture.router.open() == 0);
     CHECK((seen->status == 0 && seen->text.empty() && !seen->ended));
-    CHECK((fixture.router.counts().callers_gone == 1 && fixture.router.counts().answered == 0));
+    CHECK((fixture.router.counts().client_disconnects == 1 && fixture.router.counts().answered == 0));
     fixture.wait(std::chrono::seconds(2));
   }
 }
