--- a/source/routes/runner_table.cpp
+++ b/source/routes/runner_table.cpp
@@ -288,7 +288,7 @@
   const auto& long_prompt_members = kind->second.spec.engine.memory_tokens > 0 && !round_robin_all
                                         ? long_prompt_runners(configuration, kind_name, circle->second)
                                         : none;
-  bool warm_able = false, cold_able = false;
+  bool warm_usable = false, cold_usable = false;
   BlockReasonTally tally;
   auto consider = [&](const std::string& name, const Circle* circle) {
     auto runner = configuration.runners.find(name);
@@ -298,7 +298,7 @@
     if (spec.leaving || configuration.evacuated(spec.zone)) return tally.add(BlockReason::not_listed);
     const RunnerState& runner_state = states_[name];
     const bool is_cold = cold(runner_state, kind->second.spec, now);
-    if (now >= runner_state.not_before) (is_cold ? cold_able : warm_able) = true;
+    if (now >= runner_state.not_before) (is_cold ? cold_usable : warm_usable) = true;
     const BlockReason reason =
         find_block_reason(name, spec, ChoiceContext{kind->second.spec, circle, connection_shares, demand, now});
     const std::uint32_t share = connection_shares.share_of(messenger_.self().text, name);
@@ -325,12 +325,12 @@
     for (const auto& member : circle->second.spec.members) consider(member.text, &circle->second.spec);
   }
   main_block_reason_ = tally.most_frequent();
-  *why = warm_able || cold_able ? "busy" : "none";
+  *why = warm_usable || cold_usable ? "busy" : "none";
   if (candidates.empty()) candidates = std::move(extra_candidates);
   if (candidates.empty() && (!entitled_in_use || demand.waited >= over_share_wait))
     candidates = std::move(over_share_candidates);
   // A cold runner is overloaded by few requests, so it is used only if no warm runner is able to take requests.
-  if (candidates.empty() && !warm_able) candidates = std::move(cold_candidates);
+  if (candidates.empty() && !warm_usable) candidates = std::move(cold_candidates);
   if (candidates.empty()) return std::nullopt;
   auto chosen = [&](const Candidate& choice) {
     const std::uint32_t connections = connection_shares.limited() ? choice.connections : 0;
@@ -427,12 +427,12 @@
     auto found = states_.find(member.text);
     if (runner == configuration.runners.end() || found == states_.end() || except.contains(member.text)) continue;
     const RunnerState& runner_state = found->second;
-    const bool able = !runner->second.spec.leaving && !configuration.evacuated(runner->second.spec.zone) &&
-                      runner_state.failures == 0 && now >= runner_state.not_before && now >= runner_state.cold_until;
+    const bool usable = !runner->second.spec.leaving && !configuration.evacuated(runner->second.spec.zone) &&
+                        runner_state.failures == 0 && now >= runner_state.not_before && now >= runner_state.cold_until;
     const bool warm =
         circle->second.spec.bears(member.text, runner->second.spec.generation) && !runner_state.recovering;
     const bool ramp_over = runner_state.ramp_since && now - *runner_state.ramp_since >= ramp + slack;
-    if (able && (warm || ramp_over) && runner_state.in_progress() == 0 &&
+    if (usable && (warm || ramp_over) && runner_state.in_progress() == 0 &&
         now - runner_state.load_updated < max_load_age)
       return member.text;
   }
--- a/tests/dialect_router_test.cpp
+++ b/tests/dialect_router_test.cpp
@@ -17,11 +17,11 @@
   ALLOW_CALL(fixture.runner_client, cancel(_));
   auto sent = fixture.say("/pay", {{"Budget", "300"}});
   fixture.shared_state.lease_until = 1;
-  auto waited = fixture.say("/pay", {{"Budget", "300"}});
+  auto waiting = fixture.say("/pay", {{"Budget", "300"}});
   fixture.wait(std::chrono::milliseconds(290));
-  CHECK((sent->status == 0 && waited->status == 0));
+  CHECK((sent->status == 0 && waiting->status == 0));
   fixture.wait(std::chrono::milliseconds(12));
-  CHECK((sent->status == 504 && waited->status == 503 && waited->outcome == "refused"));
+  CHECK((sent->status == 504 && waiting->status == 503 && waiting->outcome == "refused"));
 }
 
 TEST_CASE("a lane for the request's host has precedence over one for any host, and hop-by-hop headers are removed") {
@@ -48,7 +48,7 @@
   fixture.put("circle/other", R"({"members":["four"],"warm":["four"]})");
   fixture.put(
       "lane/split",
-      R"({"path":"/split","kind":"model","shares":[{"kind":"model","weight":90},{"kind":"other","weight":10},{"kind":"never","weight":0}]})");
+      R"({"path":"/split","kind":"model","shares":[{"kind":"model","weight":90},{"kind":"other","weight":10},{"kind":"never_known","weight":0}]})");
   EXPECT_ATTEMPTS(fixture, 50);
   std::size_t other = 0;
   for (std::size_t count = 0; count < 40; ++count) {
@@ -73,16 +73,16 @@
 TEST_CASE("a daemon without a lease lets requests for unknown paths wait until it has the newest lanes") {
   SpeakingFixture fixture;
   fixture.shared_state.lease_until = fixture.world.now().microseconds - 1;
-  auto early = fixture.say("/new", {});
-  auto never = fixture.say("/never", {});
+  auto known_later = fixture.say("/new", {});
+  auto never_known = fixture.say("/never", {});
   fixture.wait(std::chrono::milliseconds(100));
-  CHECK((early->status == 0 && never->status == 0));
+  CHECK((known_later->status == 0 && never_known->status == 0));
   fixture.put("lane/new", R"({"path":"/new","kind":"model"})");
   EXPECT_ATTEMPTS(fixture, 1);
   fixture.lease();
   fixture.wait(std::chrono::milliseconds(40));
   CHECK(fixture.attempts.size() == 1);
-  CHECK(never->status == 404);
+  CHECK(never_known->status == 404);
 }
 
 TEST_CASE("a waiting request follows a change of its lane") {
@@ -326,24 +326,24 @@
   fixture.router.serves_while_draining = true;
   EXPECT_ATTEMPTS(fixture, 2);
   ALLOW_CALL(fixture.runner_client, cancel(_));
-  auto begun = fixture.say("/stream", {{"Budget", "5000"}});
+  auto begun_stream = fixture.say("/stream", {{"Budget", "5000"}});
   fixture.attempts[0].watcher->on_head(200, {});
   auto sent = fixture.say("/pay", {{"Budget", "5000"}});
   fixture.shared_state.lease_until = 1;
   fixture.put("lane/pay", R"({"path":"/pay","kind":"model","attempts":2,"waiting":5000,"whole":5000})");
-  auto waited = fixture.say("/pay", {{"Budget", "5000"}});
+  auto waiting = fixture.say("/pay", {{"Budget", "5000"}});
   fixture.shared_state.draining = true;
   fixture.router.answer_all_by(fixture.world.now() + std::chrono::milliseconds(300));
   auto late = fixture.say("/pay", {{"Budget", "5000"}});
   fixture.wait(std::chrono::milliseconds(290));
-  CHECK((sent->status == 0 && waited->status == 0 && late->status == 0));
+  CHECK((sent->status == 0 && waiting->status == 0 && late->status == 0));
   fixture.wait(std::chrono::milliseconds(12));
   CHECK(sent->status == 504);
-  CHECK((waited->status == 503 && waited->outcome == "refused" && !waited->retry_after.empty()));
+  CHECK((waiting->status == 503 && waiting->outcome == "refused" && !waiting->retry_after.empty()));
   CHECK((late->status == 503 && late->outcome == "refused"));
-  CHECK_FALSE(begun->broken);
+  CHECK_FALSE(begun_stream->broken);
   fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
-  CHECK((begun->status == 200 && begun->ended));
+  CHECK((begun_stream->status == 200 && begun_stream->ended));
 }
 
 TEST_CASE("a request that will miss its lane's target time is refused early; one that can meet it keeps waiting") {
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -242,15 +242,15 @@
   Fixture fixture;
   fixture.shared_state.lease_until = -1;
   auto first = fixture.submit("/pay");
-  auto lost = fixture.submit("/nothing");
+  auto unknown_path = fixture.submit("/nothing");
   fixture.wait(std::chrono::milliseconds(1000));
-  CHECK((first->status == 0 && lost->status == 0));
+  CHECK((first->status == 0 && unknown_path->status == 0));
   {
     EXPECT_ATTEMPTS(fixture, 1);
     fixture.lease();
     fixture.wait(std::chrono::milliseconds(40));
     CHECK(fixture.attempts.size() == 1);
-    CHECK(lost->status == 404);
+    CHECK(unknown_path->status == 404);
   }
   fixture.shared_state.lease_until = -1;
   auto second = fixture.submit("/pay");
