--- a/source/lots/item_placer.hpp
+++ b/source/lots/item_placer.hpp
@@ -1,7 +1,10 @@
-// The placing side of kept lots. The runners that take items, which are those outside the circle and members where none
-// is outside, are shared out by an agreed order, each to one daemon, which fetches items from the owners that have
-// some, sends each within its short lease, and reports until heard. Of an answer that is a series of events what came
-// whole is kept, so that the item can go on anywhere.
+// The placing side of lots: fetches items from the owners of lots, sends them to runners and reports the outcomes.
+//
+// Items run on the runners outside their circle (the active set of runners that take live requests), and on the members
+// that the circle shares with lots. The circle appoints one daemon as the placer of each such runner. An item that was
+// fetched is sent within a short start lease or not at all, and its outcome is reported until the owner acknowledges
+// it. If a response that is an event stream breaks off, its complete events are reported, so that any runner can resume
+// it.
 #pragma once
 #include <deque>
 
@@ -11,82 +14,89 @@
 
 namespace mothwalk {
 
+// Dispatches items to the runners whose placer this daemon is.
 class ItemPlacer {
  public:
-  ItemPlacer(Messenger& messenger, SharedState& shared_state, RunnerClient& exchange, RandomSource& random,
+  ItemPlacer(Messenger& messenger, SharedState& shared_state, RunnerClient& runner_client, RandomSource& random,
              const Dialect& dialect = plain_dialect());
   void start();
+  // The number of attempts in progress.
   std::size_t open() const { return attempts_.size(); }
 
  private:
-  class Watcher;
-  class BatchWatcher;
-  struct Work {
-    std::uint32_t open = 0;
-    std::uint64_t tokens = 0;  // of the open items
+  class PlainResponseReader;
+  class BatchResponseReader;
+  // What this daemon knows of a runner that it is, or was, the placer of.
+  struct RunnerState {
+    std::uint32_t open_items = 0;
+    std::uint64_t open_tokens = 0;  // the tokens of the open items
     bool fetching = false;
-    TimePoint not_before;
+    TimePoint next_fetch_at;
     std::uint32_t failures = 0;
-    std::optional<TimePoint> barred_since, taking_since;
-    TimePoint last_sent;
-    std::deque<TimePoint> sent;  // within the last second, where the kind bounds that
+    // Since when the runner must not get items, and since when this daemon is its placer under the current term.
+    std::optional<TimePoint> rejecting_since, appointed_since;
+    TimePoint last_send;
+    std::deque<TimePoint> recent_sends;  // sends within the last second, if the kind limits their rate
     std::uint64_t term = 0;
   };
   struct Attempt {
     std::string runner;
     PlacedItem item;
-    RunnerClient::Id exchange = 0;
+    RunnerClient::Id request_id = 0;
     bool repeatable = false;
-    std::shared_ptr<BatchWatcher> batch;
+    std::shared_ptr<BatchResponseReader> batch;
   };
-  struct Source {
+  // The numbers of items, by kind, that an owner last published.
+  struct PendingOwner {
     std::map<std::string, std::uint32_t> kinds, late;
-    TimePoint heard;
+    TimePoint received_at;
   };
-  struct Ending {
+  struct AttemptResult {
     std::string outcome;
     int status = 0;
     Bytes body;
-    StreamPart part;
+    PartialStream part;
   };
   void tick();
-  void work();
-  void work_soon();
-  void fetch(const std::string& name, const Runner& runner, Work& state, std::uint64_t term, std::uint32_t count,
-             const Kind& kind);
-  // Whether it is outside its circle, or a member that lots share, and may be sent to.
-  bool takes_items(const ConfigurationView& configuration, const std::string& name, const Runner& runner) const;
-  // This daemon's term as the runner's placer, or none.
-  std::optional<std::uint64_t> appointed(const ConfigurationView& configuration, const std::string& name,
-                                         const Runner& runner) const;
-  std::uint32_t room(const std::string& name, const Runner& runner, const Kind& kind, bool shared, Work& state);
+  void fetch_for_runners();
+  void schedule_fetch();
+  void fetch_items(const std::string& runner_name, const Runner& runner, RunnerState& state, std::uint64_t term,
+                   std::uint32_t count, const Kind& kind);
+  // Whether the runner may get items: it is outside its circle or a member shared with lots, and is reachable.
+  bool accepts_items(const ConfigurationView& configuration, const std::string& runner_name,
+                     const Runner& runner) const;
+  // The term under which this daemon is the runner's placer, or none if it is not.
+  std::optional<std::uint64_t> appointed_term(const ConfigurationView& configuration, const std::string& runner_name,
+                                              const Runner& runner) const;
+  std::uint32_t free_capacity(const std::string& runner_name, const Runner& runner, const Kind& kind, bool shared,
+                              RunnerState& state);
   void report_load();
-  void send(const std::string& runner, const PlacedItem& item);
-  // Ends an attempt whose answer can't be used, and its connection.
-  void leave(std::uint64_t attempt, const std::string& outcome, int status);
-  void stop(const std::vector<std::uint64_t>& attempts);
-  void ended(std::uint64_t attempt, Ending ending);
-  void report(FinishItem finish);
-  void report_soon();
-  void flush();
+  void send_item(const std::string& runner_name, const PlacedItem& item);
+  // Ends an attempt whose response can't be used, and closes its connection.
+  void abort_attempt(std::uint64_t attempt, const std::string& outcome, int status);
+  void stop_attempts(const std::vector<std::uint64_t>& attempts);
+  void on_attempt_ended(std::uint64_t attempt, AttemptResult result);
+  void queue_report(ItemReport report);
+  void schedule_reports();
+  void send_reports();
 
   Messenger& messenger_;
   SharedState& shared_state_;
   RunnerClient& runner_client_;
   RandomSource& random_;
   const Dialect& dialect_;
-  std::map<std::string, Work> works_;
-  std::set<std::string> mine_;  // the runners that this daemon places on, as of the last tick
+  std::map<std::string, RunnerState> runner_states_;
+  std::set<std::string> own_runners_;  // the runners whose placer this daemon was at the last tick
   std::map<std::uint64_t, Attempt> attempts_;
-  std::set<ItemName> held_;  // from the fetch until the owner has heard the report
+  std::set<ItemName> held_items_;  // items from their fetch until the owner has acknowledged the report
   struct Report {
-    FinishItem finish;
-    bool on_its_way = false;
+    ItemReport item;
+    bool in_flight = false;
   };
   std::map<ItemName, Report> reports_;
-  std::map<Address, Source> sources_;
+  std::map<Address, PendingOwner> pending_owners_;
   std::uint64_t last_attempt_ = 0, ticks_ = 0;
-  bool work_soon_ = false, report_soon_ = false;
+  bool fetch_scheduled_ = false, reports_scheduled_ = false;
 };
 
 }  // namespace mothwalk
--- a/source/lots/lot_calls.cpp
+++ b/source/lots/lot_calls.cpp
@@ -1,4 +1,4 @@
-// Each call finds the owner by the lot's key.
+// Forwards each call to the owner of the lot's key.
 #include "lots/lot_calls.hpp"
 
 namespace mothwalk {
@@ -9,26 +9,26 @@
 }
 }  // namespace
 
-void LotCalls::submit(SubmitLot submit, Duration limit, ReplyCallback<LotStatus> answer) {
+void LotCalls::submit(SubmitLot submit, Duration timeout, ReplyCallback<LotStatus> respond) {
   const std::string key = key_of(submit.id);
-  client_.ask_owner<SubmitLot>(key, std::move(submit), messenger_.timers().now() + limit, false, std::move(answer));
+  client_.ask_owner<SubmitLot>(key, std::move(submit), messenger_.timers().now() + timeout, false, std::move(respond));
 }
 
-void LotCalls::read(ReadLot read, Duration limit, ReplyCallback<LotPage> answer) {
+void LotCalls::read(ReadLot read, Duration timeout, ReplyCallback<LotPage> respond) {
   const std::string key = key_of(read.id);
-  client_.ask_owner<ReadLot>(key, std::move(read), messenger_.timers().now() + limit, false, std::move(answer));
+  client_.ask_owner<ReadLot>(key, std::move(read), messenger_.timers().now() + timeout, false, std::move(respond));
 }
 
-void LotCalls::body(std::string id, std::string item, Duration limit, ReplyCallback<ItemBody> answer) {
+void LotCalls::body(std::string id, std::string item, Duration timeout, ReplyCallback<ItemBody> respond) {
   const std::string key = key_of(id);
-  client_.ask_owner<ReadItem>(key, ReadItem{std::move(id), std::move(item)}, messenger_.timers().now() + limit, false,
-                              std::move(answer));
+  client_.ask_owner<ReadItem>(key, ReadItem{std::move(id), std::move(item)}, messenger_.timers().now() + timeout, false,
+                              std::move(respond));
 }
 
-void LotCalls::end(std::string id, Duration limit, ReplyCallback<LotStatus> answer) {
+void LotCalls::end(std::string id, Duration timeout, ReplyCallback<LotStatus> respond) {
   const std::string key = key_of(id);
-  client_.ask_owner<CancelLot>(key, CancelLot{std::move(id)}, messenger_.timers().now() + limit, false,
-                               std::move(answer));
+  client_.ask_owner<CancelLot>(key, CancelLot{std::move(id)}, messenger_.timers().now() + timeout, false,
+                               std::move(respond));
 }
 
 }  // namespace mothwalk
--- a/source/lots/lot_results.cpp
+++ b/source/lots/lot_results.cpp
@@ -1,4 +1,4 @@
-// Results of items: reports of placers, and results that the owner writes itself.
+// Results of items: those that placers report, and those that the owner determines itself.
 #include "lots/lots_internals.hpp"
 
 #include <algorithm>
@@ -6,207 +6,211 @@
 namespace mothwalk {
 
 namespace {
-// What one run counts for in the moving mean of a lane's run times.
-constexpr double run_time_weight = 0.05;
-// What one result counts for in the moving mean of their sizes.
-constexpr double result_size_weight = 0.02;
+// The weight of one run in the moving mean of a lane's run times.
+constexpr double run_time_smoothing = 0.05;
+// The weight of one result in the moving mean of the results' sizes.
+constexpr double result_size_smoothing = 0.02;
 
-bool whole_answer(const FinishItem& finish) {
-  return finish.outcome == "answer" || finish.outcome == "impossible";
+bool is_final_answer(const ItemReport& report) {
+  return report.outcome == "answer" || report.outcome == "impossible";
 }
 
-// Whether the runner turned the item away, or broke off while it ran it; other weights say nothing of the item.
-bool may_be_its_own_fault(const FinishItem& finish) {
-  const bool turned_away = finish.outcome == "not_run" && finish.status != 0 && finish.status != 421;
-  return turned_away || finish.outcome == "lost";
+// Whether the runner refused the item or broke off while running it, which the item itself may cause. Status 421 means
+// that the runner has other model weights, which says nothing about the item.
+bool may_be_caused_by_item(const ItemReport& report) {
+  const bool refused = report.outcome == "not_run" && report.status != 0 && report.status != 421;
+  return refused || report.outcome == "lost";
 }
 
-LotEntry entry_of(const FinishItem& finish) {
+LotEntry make_entry(const ItemReport& report) {
   LotEntry entry;
-  entry.item = finish.item;
-  entry.attempt = finish.attempt;
-  entry.status = finish.status;
+  entry.item = report.item;
+  entry.attempt = report.attempt;
+  entry.status = report.status;
   return entry;
 }
 }  // namespace
 
-void Lots::give_results(Lot& lot, std::vector<LotEntry> entries, std::function<void(bool)> then) {
-  struct Before {
+void Lots::write_results(Lot& lot, std::vector<LotEntry> entries, std::function<void(bool)> then) {
+  struct PendingResult {
     LotEntry entry;
-    ItemState state;
+    ItemState previous_state;
   };
-  std::vector<Before> given;
+  std::vector<PendingResult> pending_results;
   for (auto& entry : entries) {
     Item& item = lot.items[entry.item];
-    given.push_back(Before{entry, item.state});
+    pending_results.push_back(PendingResult{entry, item.state});
     lot.pending.erase(entry.item);
-    lot.resting.erase(entry.item);
-    lot.busy.insert(entry.item);
+    lot.backoff_until.erase(entry.item);
+    lot.in_progress.insert(entry.item);
     item.state = ItemState::finishing;
-    given.back().entry.what = entry.what = "result";
-    given.back().entry.elapsed = entry.elapsed = messenger_.timers().now() - lot.begun;
+    pending_results.back().entry.what = entry.what = "result";
+    pending_results.back().entry.elapsed = entry.elapsed = messenger_.timers().now() - lot.submitted_at;
   }
-  queue(lot);
-  append(lot, entries, [this, given = std::move(given), then](Lot* now_lot, bool good) {
-    if (now_lot == nullptr) return then(false);
-    for (const auto& each : given) {
-      Item& item = now_lot->items[each.entry.item];
-      if (item.state != ItemState::finishing) continue;
-      if (!good) {
-        if (each.state == ItemState::pending)
-          requeue(*now_lot, each.entry.item);
-        else
-          item.state = each.state;
-        continue;
-      }
-      item.state = ItemState::finished;
-      item.part = StreamPart{};
-      now_lot->busy.erase(each.entry.item);
-      now_lot->head.items[each.entry.item].body = Bytes();
-      result_bytes_ += result_size_weight * (static_cast<double>(each.entry.body.size()) - result_bytes_);
-      now_lot->results.push_back(each.entry);
-    }
-    if (good && now_lot->finished()) now_lot->closed_at = messenger_.timers().now();
-    if (good) answer_waiters(*now_lot);
-    then(good);
-  });
+  update_queue(lot);
+  append_entries(lot, entries,
+                 [this, pending_results = std::move(pending_results), then](Lot* current_lot, bool succeeded) {
+                   if (current_lot == nullptr) return then(false);
+                   for (const auto& each : pending_results) {
+                     Item& item = current_lot->items[each.entry.item];
+                     if (item.state != ItemState::finishing) continue;
+                     if (!succeeded) {
+                       if (each.previous_state == ItemState::pending)
+                         requeue(*current_lot, each.entry.item);
+                       else
+                         item.state = each.previous_state;
+                       continue;
+                     }
+                     item.state = ItemState::finished;
+                     item.part = PartialStream{};
+                     current_lot->in_progress.erase(each.entry.item);
+                     current_lot->spec.items[each.entry.item].body = Bytes();
+                     mean_result_bytes_ +=
+                         result_size_smoothing * (static_cast<double>(each.entry.body.size()) - mean_result_bytes_);
+                     current_lot->results.push_back(each.entry);
+                   }
+                   if (succeeded && current_lot->finished()) current_lot->closed_at = messenger_.timers().now();
+                   if (succeeded) reply_to_waiters(*current_lot);
+                   then(succeeded);
+                 });
 }
 
-// Reports that belong to one message; it is answered when each is settled or is known to need another sending.
-struct Lots::Finishing {
-  ReplyCallback<FinishReply> answer;
-  FinishReply reply;
-  std::size_t left = 1;
-  void done() {
-    if (--left > 0) return;
-    if (reply.heard.empty()) return answer(lots_loading());
-    answer(std::move(reply));
+// The reports of one message. The reply is sent when each report is resolved or is known to have to be sent again.
+struct Lots::ReportBatch {
+  ReplyCallback<ReportItemsReply> respond;
+  ReportItemsReply reply;
+  std::size_t pending_steps = 1;
+  void finish_step() {
+    if (--pending_steps > 0) return;
+    if (reply.acknowledged.empty()) return respond(slot_loading_error());
+    respond(std::move(reply));
   }
 };
 
-void Lots::finish(FinishItems finish, ReplyCallback<FinishReply> answer) {
-  auto state = std::make_shared<Finishing>();
-  state->answer = std::move(answer);
+void Lots::handle_reports(FinishItems message, ReplyCallback<ReportItemsReply> respond) {
+  auto batch = std::make_shared<ReportBatch>();
+  batch->respond = std::move(respond);
   std::map<std::string, std::vector<LotEntry>> results;
-  std::map<std::string, std::vector<std::uint32_t>> writing, unsure;
-  for (std::uint32_t place = 0; place < finish.items.size(); ++place) {
-    FinishItem& item = finish.items[place];
-    switch (take_report(item, results)) {
-      case Settled::now:
-        state->reply.heard.push_back(place);
+  std::map<std::string, std::vector<std::uint32_t>> being_written, unconfirmed;
+  for (std::uint32_t index = 0; index < message.items.size(); ++index) {
+    ItemReport& item = message.items[index];
+    switch (process_report(item, results)) {
+      case ReportState::resolved:
+        batch->reply.acknowledged.push_back(index);
         break;
-      case Settled::writing:
-        writing[item.lot].push_back(place);
+      case ReportState::being_written:
+        being_written[item.lot].push_back(index);
         break;
-      case Settled::unsure:
-        unsure[item.lot].push_back(place);
+      case ReportState::needs_confirmation:
+        unconfirmed[item.lot].push_back(index);
         break;
-      case Settled::later:
+      case ReportState::send_again:
         break;
     }
   }
   for (auto& [id, entries] : results) {
     bool ready = false;
-    Lot* lot = find(id, &ready);
-    ++state->left;
-    give_results(*lot, std::move(entries), [state, places = writing[id]](bool good) {
-      if (good) state->reply.heard.insert(state->reply.heard.end(), places.begin(), places.end());
-      state->done();
+    Lot* lot = find_lot(id, &ready);
+    ++batch->pending_steps;
+    write_results(*lot, std::move(entries), [batch, indices = being_written[id]](bool succeeded) {
+      if (succeeded) batch->reply.acknowledged.insert(batch->reply.acknowledged.end(), indices.begin(), indices.end());
+      batch->finish_step();
     });
   }
-  // A lot that is gone, an item that is finished or has another attempt: the report does not count. An owner that was
-  // cut off and has not heard of its successor must not say so, or the placer would drop what the successor waits for.
-  for (auto& [id, places] : unsure) {
-    ++state->left;
-    confirm(slot_of(lot_record_key(id)), [state, places = places](bool good) {
-      if (good) state->reply.heard.insert(state->reply.heard.end(), places.begin(), places.end());
-      state->done();
+  // These reports concern a lot that does not exist, an item that is finished or another attempt, and are dismissed. An
+  // isolated owner that does not know its successor yet must not dismiss them, because the placer would then drop a
+  // report that the successor waits for. Therefore a majority has to confirm the ownership first.
+  for (auto& [id, indices] : unconfirmed) {
+    ++batch->pending_steps;
+    confirm_ownership(slot_of(lot_record_key(id)), [batch, indices = indices](bool succeeded) {
+      if (succeeded) batch->reply.acknowledged.insert(batch->reply.acknowledged.end(), indices.begin(), indices.end());
+      batch->finish_step();
     });
   }
-  state->done();
+  batch->finish_step();
 }
 
-Lots::Settled Lots::take_report(FinishItem& finish, std::map<std::string, std::vector<LotEntry>>& results) {
+Lots::ReportState Lots::process_report(ItemReport& report, std::map<std::string, std::vector<LotEntry>>& results) {
   bool ready = false;
-  Lot* lot = find(finish.lot, &ready);
-  if (!ready) return Settled::later;
-  if (lot == nullptr || finish.item >= lot->items.size()) return Settled::unsure;
-  const Item& item = lot->items[finish.item];
-  if (item.state == ItemState::finished) return Settled::unsure;
-  if (item.state == ItemState::finishing || item.state == ItemState::starting) return Settled::later;
-  const bool current = item.attempt == finish.attempt, whole = whole_answer(finish);
-  if (!current && !(repeatable(*lot) && whole)) return Settled::unsure;
-  if (lot->head.batch && (lot->cancelled || lot->cancelling)) {
-    if (lot->cancelled) requeue(*lot, finish.item);
-    return lot->cancelled ? Settled::unsure : Settled::later;
+  Lot* lot = find_lot(report.lot, &ready);
+  if (!ready) return ReportState::send_again;
+  if (lot == nullptr || report.item >= lot->items.size()) return ReportState::needs_confirmation;
+  const Item& item = lot->items[report.item];
+  if (item.state == ItemState::finished) return ReportState::needs_confirmation;
+  if (item.state == ItemState::finishing || item.state == ItemState::starting) return ReportState::send_again;
+  const bool is_current_attempt = item.attempt == report.attempt, final_answer = is_final_answer(report);
+  if (!is_current_attempt && !(is_repeatable(*lot) && final_answer)) return ReportState::needs_confirmation;
+  if (lot->spec.batch && (lot->cancelled || lot->cancelling)) {
+    if (lot->cancelled) requeue(*lot, report.item);
+    return lot->cancelled ? ReportState::needs_confirmation : ReportState::send_again;
   }
-  if (current && item.state == ItemState::started && whole) learn_run_time(*lot, item);
-  auto entry = lot->head.batch ? batch_result(*lot, finish) : plain_result(*lot, finish);
-  if (!entry) return Settled::now;
-  // Two reports of one item in one message: the second waits for the first.
+  if (is_current_attempt && item.state == ItemState::started && final_answer) update_run_time(*lot, item);
+  auto entry = lot->spec.batch ? batch_result_of(*lot, report) : plain_result_of(*lot, report);
+  if (!entry) return ReportState::resolved;
+  // If one message has two reports of an item, the second one is processed when it is sent again.
   auto& entries = results[lot->id];
-  if (std::any_of(entries.begin(), entries.end(), [&](const LotEntry& each) { return each.item == finish.item; }))
-    return Settled::later;
+  if (std::any_of(entries.begin(), entries.end(), [&](const LotEntry& each) { return each.item == report.item; }))
+    return ReportState::send_again;
   entries.push_back(std::move(*entry));
-  return Settled::writing;
+  return ReportState::being_written;
 }
 
-void Lots::learn_run_time(const Lot& lot, const Item& item) {
-  double& took = took_.try_emplace(lot.head.lane, 1.0).first->second;
-  const double seconds = static_cast<double>((messenger_.timers().now() - item.since).count()) / 1e6;
-  took += run_time_weight * (seconds - took);
+void Lots::update_run_time(const Lot& lot, const Item& item) {
+  double& mean = mean_run_seconds_.try_emplace(lot.spec.lane, 1.0).first->second;
+  const double seconds = static_cast<double>((messenger_.timers().now() - item.started_at).count()) / 1e6;
+  mean += run_time_smoothing * (seconds - mean);
 }
 
-std::optional<LotEntry> Lots::batch_result(Lot& lot, FinishItem& finish) {
-  Item& item = lot.items[finish.item];
-  item.failures = std::max(item.failures, finish.failures);
-  const bool gained = finish.outcome != "damaged" && finish.part.last_event > item.part.last_event;
-  if (finish.outcome == "damaged")
-    item.part = StreamPart{};
-  else if (gained)
-    item.part = std::move(finish.part);
-  if (gained) item.setbacks = 0;
-  const bool spent = finish.outcome == "failed" && item.failures >= std::max(1u, lot.head.attempts);
-  if (!whole_answer(finish) && !spent) {
+std::optional<LotEntry> Lots::batch_result_of(Lot& lot, ItemReport& report) {
+  Item& item = lot.items[report.item];
+  item.failures = std::max(item.failures, report.failures);
+  const bool progressed = report.outcome != "damaged" && report.part.last_event > item.part.last_event;
+  if (report.outcome == "damaged")
+    item.part = PartialStream{};
+  else if (progressed)
+    item.part = std::move(report.part);
+  if (progressed) item.runs_without_progress = 0;
+  const bool attempts_exhausted = report.outcome == "failed" && item.failures >= std::max(1u, lot.spec.attempts);
+  if (!is_final_answer(report) && !attempts_exhausted) {
     if (item.state != ItemState::started) return std::nullopt;
-    requeue(lot, finish.item);
-    if (!gained && may_be_its_own_fault(finish)) count_setback(lot, finish.item);
+    requeue(lot, report.item);
+    if (!progressed && may_be_caused_by_item(report)) count_run_without_progress(lot, report.item);
     return std::nullopt;
   }
-  LotEntry entry = entry_of(finish);
-  entry.outcome = finish.outcome == "answer" ? "answer" : "abandoned";
-  if (finish.outcome == "answer") entry.body = std::move(finish.body);
+  LotEntry entry = make_entry(report);
+  entry.outcome = report.outcome == "answer" ? "answer" : "abandoned";
+  if (report.outcome == "answer") entry.body = std::move(report.body);
   return entry;
 }
 
-std::optional<LotEntry> Lots::plain_result(Lot& lot, FinishItem& finish) {
-  const Item& item = lot.items[finish.item];
-  if (finish.outcome == "not_run") {
+std::optional<LotEntry> Lots::plain_result_of(Lot& lot, ItemReport& report) {
+  const Item& item = lot.items[report.item];
+  if (report.outcome == "not_run") {
     if (item.state != ItemState::started) return std::nullopt;
-    requeue(lot, finish.item);
-    if (may_be_its_own_fault(finish)) count_setback(lot, finish.item);
+    requeue(lot, report.item);
+    if (may_be_caused_by_item(report)) count_run_without_progress(lot, report.item);
     return std::nullopt;
   }
-  if (finish.outcome == "stopped" || finish.outcome == "lost") {
+  if (report.outcome == "stopped" || report.outcome == "lost") {
     if (item.state == ItemState::pending) return std::nullopt;
-    if (!lot.cancelled && may_run_again(lot, item, finish.outcome == "stopped")) {
-      requeue(lot, finish.item);
+    if (!lot.cancelled && may_retry(lot, item, report.outcome == "stopped")) {
+      requeue(lot, report.item);
       return std::nullopt;
     }
   }
-  LotEntry entry = entry_of(finish);
-  entry.outcome = finish.outcome == "answer" ? "answer" : "unknown";
-  entry.body = std::move(finish.body);
+  LotEntry entry = make_entry(report);
+  entry.outcome = report.outcome == "answer" ? "answer" : "unknown";
+  entry.body = std::move(report.body);
   return entry;
 }
 
-bool Lots::may_run_again(const Lot& lot, const Item& item, bool stopped_by_us) const {
-  if (!repeatable(lot)) return false;
+bool Lots::may_retry(const Lot& lot, const Item& item, bool stopped_by_placer) const {
+  if (!is_repeatable(lot)) return false;
   const auto configuration = shared_state_.configuration.get();
-  return stopped_by_us || item.tries <= configuration->lanes.at(lot.head.lane).spec.retries;
+  return stopped_by_placer || item.tries <= configuration->lanes.at(lot.spec.lane).spec.retries;
 }
 
-void Lots::give_up(Lot& lot, const std::string& outcome) {
+void Lots::end_pending_items(Lot& lot, const std::string& outcome) {
   std::vector<LotEntry> entries;
   for (const std::uint32_t index : lot.pending) {
     LotEntry entry;
@@ -215,7 +219,7 @@
     entry.outcome = outcome;
     entries.push_back(std::move(entry));
   }
-  if (!entries.empty()) give_results(lot, std::move(entries), [](bool) {});
+  if (!entries.empty()) write_results(lot, std::move(entries), [](bool) {});
 }
 
 }  // namespace mothwalk
--- a/source/lots/lot_submission.cpp
+++ b/source/lots/lot_submission.cpp
@@ -1,4 +1,4 @@
-// Submission of a lot. The same id with the same content is the same lot, however often it is handed in.
+// Submission of lots. Submissions are idempotent: the same id with the same content is the same lot.
 #include "lots/lots_internals.hpp"
 
 #include <algorithm>
@@ -6,32 +6,34 @@
 namespace mothwalk {
 
 namespace {
-std::optional<Error> other_content(const std::string& id, const std::string& known, const std::string& given) {
-  if (known == given) return std::nullopt;
-  return Error{ErrorKind::conflict, "id", "lot '" + id + "' was handed in with another body",
+std::optional<Error> content_conflict(const std::string& id, const std::string& known_digest,
+                                      const std::string& given_digest) {
+  if (known_digest == given_digest) return std::nullopt;
+  return Error{ErrorKind::conflict, "id", "lot '" + id + "' already exists with different content",
                "use a new id for a new lot"};
 }
 }  // namespace
 
-std::string lot_content(const LotSpecification& head) {
-  const Bytes form = head.batch ? to_cbor(head.items) : to_cbor(head);
-  return std::to_string(hash_of(form)) + "-" + std::to_string(hash_of(form, 1)) + "-" + std::to_string(form.size());
+std::string content_digest_of(const LotSpecification& spec) {
+  const Bytes encoded = spec.batch ? to_cbor(spec.items) : to_cbor(spec);
+  return std::to_string(hash_of(encoded)) + "-" + std::to_string(hash_of(encoded, 1)) + "-" +
+         std::to_string(encoded.size());
 }
 
-void Lots::submit(SubmitLot submit, ReplyCallback<LotStatus> answer) {
-  const std::uint32_t number = slot_of(lot_record_key(submit.id));
-  Slot& slot = slots_[number];
-  if (!slot.ready) return answer(lots_loading());
-  const std::string content = lot_content(submit.head);
+void Lots::submit(SubmitLot submit, ReplyCallback<LotStatus> respond) {
+  const std::uint32_t slot_number = slot_of(lot_record_key(submit.id));
+  Slot& slot = slots_[slot_number];
+  if (!slot.ready) return respond(slot_loading_error());
+  const std::string content = content_digest_of(submit.head);
   if (auto found = slot.lots.find(submit.id); found != slot.lots.end()) {
-    if (auto error = other_content(submit.id, found->second.content, content)) return answer(*error);
+    if (auto error = content_conflict(submit.id, found->second.content_digest, content)) return respond(*error);
     if (!found->second.removing)
-      return when_owner(submit.id, false, [this, answer](bool good, Lot* lot) {
-        good&& lot != nullptr ? answer(status(*lot)) : answer(lots_loading());
+      return confirm_and_find(submit.id, false, [this, respond](bool succeeded, Lot* lot) {
+        succeeded&& lot != nullptr ? respond(status_of(*lot)) : respond(slot_loading_error());
       });
   }
   const auto configuration = shared_state_.configuration.get();
-  if (auto error = not_accepted(submit.head, *configuration)) return answer(*error);
+  if (auto error = submission_error(submit.head, *configuration)) return respond(*error);
   submit.head.revision = std::max(submit.head.revision, configuration->fleet.spec.revision);
   Write write;
   write.key = lot_record_key(submit.id);
@@ -39,75 +41,79 @@
   write.expected = 0;
   write.fence = slot.epoch.value;
   write.token = content;
-  write.growth = expected_growth(submit.head.items.size());
-  messenger_.request(messenger_.self(), write, lot_write_limit,
-                     [this, id = submit.id, head = to_cbor(submit.head), content, epoch = slot.epoch,
-                      answer](Result<WriteReply> result) { submitted(id, head, content, epoch, result, answer); });
+  write.growth = expected_result_bytes(submit.head.items.size());
+  messenger_.request(
+      messenger_.self(), write, lot_write_timeout,
+      [this, id = submit.id, head = to_cbor(submit.head), content, epoch = slot.epoch,
+       respond](Result<WriteReply> result) { on_submission_written(id, head, content, epoch, result, respond); });
 }
 
-// The results of all items that have none yet. An owner knows its own slots' lots, and takes the others' to be like
-// them.
-std::uint64_t Lots::expected_growth(std::size_t items) const {
+// Estimates the size of the results that are still to come in all slots. An owner knows only the lots of its own slots,
+// so it extrapolates from them to the other slots.
+std::uint64_t Lots::expected_result_bytes(std::size_t items) const {
   std::size_t owned = 0, unfinished = items;
   for (const auto& slot : slots_) {
     owned += slot.ready;
     for (const auto& [id, lot] : slot.lots) unfinished += lot.items.size() - lot.results.size();
   }
   if (owned == 0) return 0;
-  return static_cast<std::uint64_t>(result_bytes_ * static_cast<double>(unfinished)) * slot_count / owned;
+  return static_cast<std::uint64_t>(mean_result_bytes_ * static_cast<double>(unfinished)) * slot_count / owned;
 }
 
-std::optional<Error> Lots::not_accepted(const LotSpecification& head, const ConfigurationView& configuration) const {
+std::optional<Error> Lots::submission_error(const LotSpecification& spec,
+                                            const ConfigurationView& configuration) const {
   const LotSettings settings = configuration.lot_settings();
-  if (!configuration.lanes.contains(head.lane)) {
-    // The configuration that has the lane may be on its way to this daemon.
-    if (head.revision > configuration.fleet.spec.revision) return lots_loading();
-    return Error{ErrorKind::invalid, "lane", "no lane has the name '" + head.lane + "'", "name an existing lane"};
+  if (!configuration.lanes.contains(spec.lane)) {
+    // This daemon may not have received the configuration with the lane yet.
+    if (spec.revision > configuration.fleet.spec.revision) return slot_loading_error();
+    return Error{ErrorKind::invalid, "lane", "no lane is named '" + spec.lane + "'", "name an existing lane"};
   }
-  if (head.items.empty() || head.items.size() > settings.items)
-    return Error{ErrorKind::invalid, "items", "a lot has 1 to " + std::to_string(settings.items) + " items",
-                 "split the lot"};
-  std::size_t kept = 0;
-  for (const auto& slot : slots_) kept += slot.lots.size();
-  if (kept >= settings.lots)
-    return Error{ErrorKind::refused, "lots", "the store of lots is full; the lot was not taken",
-                 "hand it in again later, or raise lots in lots/default"};
+  if (spec.items.empty() || spec.items.size() > settings.items)
+    return Error{ErrorKind::invalid, "items", "a lot must have 1 to " + std::to_string(settings.items) + " items",
+                 "submit the items in several lots"};
+  std::size_t lot_count = 0;
+  for (const auto& slot : slots_) lot_count += slot.lots.size();
+  if (lot_count >= settings.lots)
+    return Error{ErrorKind::refused, "lots", "this daemon stores the maximum number of lots; the lot was not accepted",
+                 "submit it again later, or raise the setting lots in lots/default"};
   return std::nullopt;
 }
 
-std::uint32_t Lots::too_large(const Lot& lot) const {
+std::uint32_t Lots::count_items_too_large(const Lot& lot) const {
   const auto configuration = shared_state_.configuration.get();
-  auto lane = configuration->lanes.find(lot.head.lane);
+  auto lane = configuration->lanes.find(lot.spec.lane);
   if (lane == configuration->lanes.end()) return 0;
-  std::uint32_t held = 0;
+  std::uint32_t runnable = 0;
   for (const auto& share : lane->second.spec.kinds())
-    if (share.weight > 0) held = std::max(held, holdable(lot, memory_of(*configuration, share.kind.text)));
-  return static_cast<std::uint32_t>(lot.pending.size()) - held;
+    if (share.weight > 0)
+      runnable = std::max(runnable, count_fitting_items(lot, runner_memory_tokens(*configuration, share.kind.text)));
+  return static_cast<std::uint32_t>(lot.pending.size()) - runnable;
 }
 
-void Lots::submitted(const std::string& id, const Bytes& head, const std::string& content, Epoch epoch,
-                     const Result<WriteReply>& result, const ReplyCallback<LotStatus>& answer) {
+void Lots::on_submission_written(const std::string& id, const Bytes& head, const std::string& content, Epoch epoch,
+                                 const Result<WriteReply>& result, const ReplyCallback<LotStatus>& respond) {
   Slot& slot = slots_[slot_of(lot_record_key(id))];
-  const Error unsure{ErrorKind::unknown, "id", "whether the lot was taken is not known",
-                     "hand it in again under the same id"};
+  const Error outcome_unknown{ErrorKind::unknown, "id", "it is unknown whether the lot was accepted",
+                              "submit it again under the same id"};
   const Error* error = error_of(result);
-  if (error != nullptr && error->kind != ErrorKind::stale) return answer(*error);
-  // A write under an epoch that is over may stand, and one that found a record may have found this very lot.
-  if (slot.epoch != epoch || !slot.ready) return answer(unsure);
+  if (error != nullptr && error->kind != ErrorKind::stale) return respond(*error);
+  // A write under a past epoch may have been stored, and a write that was refused because a record exists may have
+  // found this same lot from an earlier submission.
+  if (slot.epoch != epoch || !slot.ready) return respond(outcome_unknown);
   if (auto found = slot.lots.find(id); found != slot.lots.end()) {
-    if (auto other = other_content(id, found->second.content, content)) return answer(*other);
-    return answer(status(found->second));
+    if (auto other = content_conflict(id, found->second.content_digest, content)) return respond(*other);
+    return respond(status_of(found->second));
   }
-  if (error != nullptr) return answer(unsure);
+  if (error != nullptr) return respond(outcome_unknown);
   Record record;
   record.key = lot_record_key(id);
   record.head = head;
   record.written = std::get<WriteReply>(result).stamp;
-  Lot& lot = slot.lots.emplace(id, rebuild(record, epoch)).first->second;
-  counts_.items_too_large += too_large(lot);
-  queue(lot);
-  announce_soon_ = true;
-  answer(status(lot));
+  Lot& lot = slot.lots.emplace(id, rebuild_lot(record, epoch)).first->second;
+  counts_.items_too_large += count_items_too_large(lot);
+  update_queue(lot);
+  publish_soon_ = true;
+  respond(status_of(lot));
 }
 
 }  // namespace mothwalk
--- a/source/lots/lots_internals.hpp
+++ b/source/lots/lots_internals.hpp
@@ -1,37 +1,39 @@
-// What the parts of the owner of kept lots share: keys, time limits and faults.
+// Helpers shared by the source files that implement the class Lots: record keys, timeouts and common errors.
 #pragma once
 #include "lots/lots.hpp"
 
 namespace mothwalk {
 
 // How long a write of a lot's record may take until its outcome counts as unknown.
-inline constexpr Duration lot_write_limit = std::chrono::milliseconds(2500);
+inline constexpr Duration lot_write_timeout = std::chrono::milliseconds(2500);
 
-// How long a placer may take to say what it holds.
-inline constexpr Duration placer_answer_limit = std::chrono::milliseconds(1000);
+// How long a placer may take to report which items it holds.
+inline constexpr Duration placer_reply_timeout = std::chrono::milliseconds(1000);
 
 // The key of a lot's record in the replicated store.
 inline std::string lot_record_key(const std::string& id) {
   return "lot/" + id;
 }
 
-// The slots of this owner are not loaded, or no majority confirms that it owns them.
-inline Error lots_loading() {
-  return Error{ErrorKind::busy, "slot", "the lots of this slot are being taken over", "ask again"};
+// The lots of the slot are not loaded yet, or no majority confirms that this daemon owns the slot.
+inline Error slot_loading_error() {
+  return Error{ErrorKind::busy, "slot", "the owner of this lot's slot is changing; its lots are not available yet",
+               "retry the request"};
 }
 
-inline Error no_lot() {
-  return Error{ErrorKind::unknown_name, "id", "there is no lot of this id",
+inline Error lot_not_found_error() {
+  return Error{ErrorKind::unknown_name, "id", "no lot with this id exists",
                "check the id; finished lots are kept for the retention time only"};
 }
 
-// The tokens that a runner of the kind can hold; 0 where no bound is stated.
-std::uint64_t memory_of(const ConfigurationView& configuration, const std::string& kind);
+// The tokens that the memory of a runner of the kind can hold, or 0 if the kind states no bound.
+std::uint64_t runner_memory_tokens(const ConfigurationView& configuration, const std::string& kind);
 
-// Whether an item of so many tokens can run at a runner with this memory.
-bool holds(std::uint64_t memory_tokens, std::uint32_t item_tokens);
+// Whether an item of the given number of tokens fits into a runner's memory; a memory of 0 tokens is unbounded.
+bool fits_in_memory(std::uint64_t memory_tokens, std::uint32_t item_tokens);
 
-// Names what was handed in. Of a batch the items alone: what the lane promises may have changed between two sendings.
-std::string lot_content(const LotSpecification& head);
+// A digest by which a repeated submission is recognised. For a batch it covers the items only, because the limits that
+// the lane's configuration adds to the specification may change between two submissions.
+std::string content_digest_of(const LotSpecification& spec);
 
 }  // namespace mothwalk
--- a/source/lots/messages.hpp
+++ b/source/lots/messages.hpp
@@ -1,48 +1,50 @@
-// The messages between those who hand lots in, the lots' owners and the daemons that place items on outside runners.
+// The messages and records of lots. A lot is a submitted set of requests, its items; the daemon that owns the lot's
+// slot of keys stores it and hands its items out. A placer is the daemon that dispatches items to a given runner.
 #pragma once
 #include "replication/messages.hpp"
 
 namespace mothwalk {
 
-// An item is a request of its own. In a lot that is no batch it is a plain text: its id is its position, its path the
-// lane's.
+// An item of a batch is a complete request. An item of a plain lot (one that is not a batch) is only a request body: it
+// is identified by its position and sent to the lane's path.
 struct LotItem {
   std::string id, path;
   std::vector<Header> headers;
   Bytes body;
-  std::uint32_t tokens = 0;  // of the prompt and the most that may come out
+  std::uint32_t tokens = 0;  // the prompt's tokens plus the maximum of output tokens
   MOTHWALK_FIELDS(id, path, headers, body, tokens)
 };
 struct LotSpecification {
   std::string lane;
-  Duration deadline{};  // of lots that are no batch: items without a result by then expire
+  Duration deadline{};  // Plain lots only: items without a result this long after the submission expire.
   std::vector<LotItem> items;
-  bool batch = false;     // items are whole requests that may run again, their answers series of events with rising ids
-  std::string host;       // of a batch, as its attempts carry it
-  Duration completion{};  // of a batch, since its submission: by when all results are due
-  Duration retention{};   // of a batch, since its submission: from when items may be given up
-  std::uint32_t attempts = 0;  // of a batch: answers of 500 that end an item
-  std::uint64_t revision = 0;  // of the configuration that the lane was found in
+  bool batch = false;     // Items are complete requests that may run again; their responses are event streams with ids.
+  std::string host;       // Batches only: the host name that the attempts carry.
+  Duration completion{};  // Batches only: all results are due this long after the submission.
+  Duration retention{};   // Batches only: items may be abandoned this long after the submission.
+  std::uint32_t attempts = 0;  // Batches only: this many responses with status 500 end an item.
+  std::uint64_t revision = 0;  // the revision of the configuration in which the lane was found
   MOTHWALK_FIELDS(lane, deadline, items, batch, host, completion, retention, attempts, revision)
 };
 
-// What is appended to a lot's record. Elapsed is the steady time since submission as the owner knew it, so a deadline
-// needs no wall clock and survives a change of owner.
+// An entry that is appended to a lot's record. `elapsed` is the time since submission by the owner's monotonic clock,
+// so deadlines need no wall clock and survive a change of owner.
 struct LotEntry {
-  std::string what;  // start, result, cancel
+  std::string what;  // "start", "result" or "cancel"
   std::uint32_t item = 0;
   std::uint64_t attempt = 0;
   Address placer;
   std::uint64_t incarnation = 0;
   Duration elapsed{};
-  std::string outcome;  // answer, unknown, expired, cancelled; of a batch answer or abandoned
+  // "answer", "unknown", "expired" or "cancelled"; in a batch "answer" or "abandoned".
+  std::string outcome;
   std::int32_t status = 0;
   Bytes body;
   MOTHWALK_FIELDS(what, item, attempt, placer, incarnation, elapsed, outcome, status, body)
 };
 
 struct LotStatus {
-  std::string id, lane, state;  // open, cancelled, finished
+  std::string id, lane, state;  // The state is "open", "cancelled" or "finished".
   std::uint32_t items = 0, results = 0, started = 0;
   MOTHWALK_FIELDS(id, lane, state, items, results, started)
 };
@@ -63,8 +65,8 @@
   std::uint32_t position = 0, item = 0;
   std::string outcome;
   std::int32_t status = 0;
-  Bytes body;           // of a batch: the data of all events in order, joined by line feeds
-  std::string id = {};  // of a batch's item
+  Bytes body;           // In a batch, the data of all events in order, joined by line feeds.
+  std::string id = {};  // the item's own id, or its position in a plain lot
   MOTHWALK_FIELDS(position, item, outcome, status, body, id)
 };
 struct LotPage {
@@ -78,14 +80,14 @@
   using Reply = LotPage;
   std::string id;
   std::uint32_t after = 0, limit = 0;
-  Duration wait{};  // how long the answer may be held until there is a result at that position; at most a second
+  Duration wait{};  // how long the reply may wait for a result at position `after`; limited to one second
   MOTHWALK_FIELDS(id, after, limit, wait)
 };
 struct ItemBody {
   Bytes body;
   MOTHWALK_FIELDS(body)
 };
-// The body of an item that is not listed yet.
+// Reads the request body of an item that has no result yet.
 struct ReadItem {
   static constexpr StringView kind = "lots.item";
   using Reply = ItemBody;
@@ -103,57 +105,61 @@
   MOTHWALK_FIELDS(ask)
 };
 
-// Between owners and placing daemons.
+// Sent by owners to placers: by kind of runner, how many items wait to be fetched.
 struct PendingItems {
   static constexpr StringView kind = "placing.pending";
-  std::map<std::string, std::uint32_t> kinds;  // items that can be in time
-  std::map<std::string, std::uint32_t> late;   // and those that can't any more
+  std::map<std::string, std::uint32_t> kinds;  // items that can still finish in time
+  std::map<std::string, std::uint32_t> late;   // items that can no longer finish in time
   MOTHWALK_FIELDS(kinds, late)
 };
-// What an owner's lots ask of a kind's runners: items that wait, and how many have to run at once to be in time.
+// The demand of an owner's lots for runners of a kind: how many items wait, and how many items have to run at once to
+// finish in time.
 struct LotDemand {
   std::uint32_t pending = 0;
   double at_once = 0;
   MOTHWALK_FIELDS(pending, at_once)
 };
+// Sent by owners to the component that sizes the circle, which is the active set of a kind's runners.
 struct KindPending {
   static constexpr StringView kind = "circle.pending";
   std::map<std::string, LotDemand> kinds;
   MOTHWALK_FIELDS(kinds)
 };
-// What whole events have come of an item's answer, so that any runner can go on after the last of them.
-struct StreamPart {
+// The complete events that were received of an item's response, so that any runner can resume after the last of them.
+struct PartialStream {
   Bytes text;
-  std::uint64_t last_event = 0;  // 0: none
-  std::string version;           // of the weights that answered
+  std::uint64_t last_event = 0;  // the id of the last complete event, or 0 for none
+  std::string version;           // the version of the model weights that produced the text
   MOTHWALK_FIELDS(text, last_event, version)
 };
+// An item as it is handed out to a placer.
 struct PlacedItem {
   std::string lot, lane;
   std::uint32_t item = 0;
   std::uint64_t attempt = 0;
-  std::uint32_t failures = 0;  // answers of 500 so far
+  std::uint32_t failures = 0;  // responses with status 500 so far
   bool batch = false;
   std::string host;
   LotItem request;
-  StreamPart part;
+  PartialStream part;
   MOTHWALK_FIELDS(lot, lane, item, attempt, failures, batch, host, request, part)
 };
 struct ItemsReply {
   std::vector<PlacedItem> items;
-  std::uint32_t remaining = 0, late = 0;  // of the kind with this owner, as in PendingItems
+  std::uint32_t remaining = 0, late = 0;  // the owner's remaining items for the kind, as in PendingItems
   MOTHWALK_FIELDS(items, remaining, late)
 };
+// Asks an owner for items to run on a runner.
 struct FetchItems {
   static constexpr StringView kind = "lots.fetch";
   using Reply = ItemsReply;
   std::string runner_kind, runner;
   std::uint32_t count = 0;
-  std::uint64_t term = 0;    // the placer's, for this runner
-  std::uint64_t tokens = 0;  // that the items may have together; 0: no bound
+  std::uint64_t term = 0;    // the term of the sender's appointment as this runner's placer
+  std::uint64_t tokens = 0;  // the most tokens that the items may have in total; 0 for no bound
   MOTHWALK_FIELDS(runner_kind, runner, count, term, tokens)
 };
-// An owner asks a placer which of the items that it takes to be with it are in its hands (running or being reported).
+// Identifies one attempt at an item.
 struct ItemName {
   std::string lot;
   std::uint32_t item = 0;
@@ -161,56 +167,61 @@
   auto operator<=>(const ItemName&) const = default;
   MOTHWALK_FIELDS(lot, item, attempt)
 };
-struct HeldReply {
+// The items of the request that the placer does not hold.
+struct CheckHeldItemsReply {
   std::vector<ItemName> missing;
   MOTHWALK_FIELDS(missing)
 };
+// Sent by an owner to check whether a placer still holds the items that were handed to it, running or not reported yet.
 struct AskHeld {
   static constexpr StringView kind = "placing.held";
-  using Reply = HeldReply;
+  using Reply = CheckHeldItemsReply;
   std::uint64_t incarnation = 0;
   std::vector<ItemName> items;
   MOTHWALK_FIELDS(incarnation, items)
 };
-// A new owner asks all who may place which items of a slot's lots are in their hands, before it hands any out.
-struct SlotItems {
+// The reply to a new owner, which asks all possible placers which items of its slot they hold before it hands any out.
+struct HeldItems {
   std::uint64_t incarnation = 0;
   std::vector<ItemName> items;
   MOTHWALK_FIELDS(incarnation, items)
 };
+// Asks a placer which items of a slot's lots it holds.
 struct AskSlot {
   static constexpr StringView kind = "placing.slot";
-  using Reply = SlotItems;
+  using Reply = HeldItems;
   std::uint32_t slot = 0;
   MOTHWALK_FIELDS(slot)
 };
-// The lot was ended: its running items are of no use.
+// Tells a placer that a lot was cancelled, so that it stops the lot's running items.
 struct StopLot {
   static constexpr StringView kind = "placing.stop";
   std::string lot;
   MOTHWALK_FIELDS(lot)
 };
-// Outcome: answer (the runner's), lost (may have run), stopped (may have run, stopped by us), not_run (did not run); of
-// a batch also failed (500), impossible (422) and damaged (it did not go on after the part it was given).
-struct FinishItem {
+// A placer's report on an attempt. Outcomes: "answer" (the runner responded), "lost" (it may have run), "stopped" (it
+// may have run and was stopped by the placer), "not_run" (it did not run). In a batch also "failed" (status 500),
+// "impossible" (status 422) and "damaged" (the runner did not resume after the partial response it was given).
+struct ItemReport {
   std::string lot;
   std::uint32_t item = 0;
   std::uint64_t attempt = 0;
   std::string outcome;
   std::int32_t status = 0;
   Bytes body;
-  StreamPart part = {};  // of a batch, what came before the end
+  PartialStream part = {};  // In a batch, the partial response that was received.
   std::uint32_t failures = 0;
   MOTHWALK_FIELDS(lot, item, attempt, outcome, status, body, part, failures)
 };
-struct FinishReply {
-  std::vector<std::uint32_t> heard;  // which of the reports are settled, by place in the list
-  MOTHWALK_FIELDS(heard)
+struct ReportItemsReply {
+  std::vector<std::uint32_t> acknowledged;  // indices of the reports that need not be sent again
+  MOTHWALK_FIELDS_AS("heard", acknowledged)
 };
+// Reports finished attempts to the owner of their lots.
 struct FinishItems {
   static constexpr StringView kind = "lots.finish";
-  using Reply = FinishReply;
-  std::vector<FinishItem> items;
+  using Reply = ReportItemsReply;
+  std::vector<ItemReport> items;
   MOTHWALK_FIELDS(items)
 };
 
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -1,4 +1,5 @@
-// A lots' owner over a kept state that a test scripts, and a placer over runners that a test plays.
+// Fixtures for the tests of lots: an owner of lots on a scripted replicated store, and an item placer whose runners the
+// test simulates.
 #pragma once
 #include <catch2/catch.hpp>
 
@@ -14,16 +15,18 @@
   return Error{static_cast<ErrorKind>(error->kind), error->field, error->message, error->remedy};
 }
 
-// What is kept outlives the owners: two stages over one store are an owner and its successor.
-struct KeptStore {
+// The replicated store. It outlives the fixtures: two owners on one store are an owner and its successor.
+struct ScriptedStore {
   std::map<std::string, Record> records;
-  bool majority = true;                           // writes and questions are answered
-  Duration delay = std::chrono::milliseconds(1);  // of writes
+  bool majority = true;                                 // whether writes and ownership confirmations succeed
+  Duration write_delay = std::chrono::milliseconds(1);  // the time until a write is answered
 };
 
+// Runs an owner that owns all slots, and plays the store and the placers that it talks to.
 class OwnerFixture : public Transport {
  public:
-  OwnerFixture(KeptStore& kept, std::uint64_t epoch) : store(kept), epoch_(epoch), lots(messenger, shared_state) {
+  OwnerFixture(ScriptedStore& scripted_store, std::uint64_t epoch)
+      : store(scripted_store), epoch_(epoch), lots(messenger, shared_state) {
     for (const char* address : {"10.0.0.1:1", "10.0.0.2:1"}) {
       Member member;
       member.address = Address(address);
@@ -39,15 +42,15 @@
     for (std::uint32_t slot = 0; slot < slot_count; ++slot) owned.slots[slot] = Epoch{epoch};
     shared_state.owned.set(owned);
     lots.start();
-    until_loaded(slot_count);
+    wait_until_loaded(slot_count);
   }
-  // Until so many slots have been loaded since the start.
-  void until_loaded(std::uint64_t slots) {
+  // Waits until the given number of slots has been loaded since the start.
+  void wait_until_loaded(std::uint64_t slots) {
     for (int count = 0; count < 300 && lots.counts().slots_loaded < slots; ++count) wait(std::chrono::milliseconds(1));
     REQUIRE(lots.counts().slots_loaded == slots);
   }
-  // Takes all slots again, under a higher epoch.
-  void retake(std::uint64_t epoch, Duration between = {}) {
+  // Releases all slots and takes them over again under a higher epoch.
+  void regain_slots(std::uint64_t epoch, Duration between = {}) {
     shared_state.owned.set(Ownership{});
     wait(std::chrono::milliseconds(60) + between);
     epoch_ = epoch;
@@ -56,39 +59,39 @@
     shared_state.owned.set(owned);
     const std::uint64_t before = lots.counts().slots_loaded;
     wait(std::chrono::milliseconds(60));
-    until_loaded(before + slot_count);
+    wait_until_loaded(before + slot_count);
   }
-  ~OwnerFixture() override { life->alive = false; }
+  ~OwnerFixture() override { incarnation->alive = false; }
   void put(const std::string& key, const Bytes& value) {
     REQUIRE(put_in_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   void send(const Address& to, Envelope envelope) override {
     if (envelope.kind.starts_with("store."))
-      return world.at(envelope.kind == "store.write" ? store.delay : std::chrono::milliseconds(1), life,
-                      [this, envelope] { serve(envelope); });
+      return world.at(envelope.kind == "store.write" ? store.write_delay : std::chrono::milliseconds(1), incarnation,
+                      [this, envelope] { handle_store_request(envelope); });
     if (!envelope.reply && envelope.kind == "placing.slot") {
-      asked_slots.push_back(to);
-      if (holds_answer) reply(envelope, to_cbor(SlotItems{7, held}), to);
+      placers_asked.push_back(to);
+      if (placers_reply) send_placer_reply(envelope, to_cbor(HeldItems{7, held_items}), to);
       return;
     }
     sent.push_back(std::move(envelope));
   }
-  void reply(const Envelope& asked, Bytes body, const Address& from) {
-    world.at(std::chrono::milliseconds(1), life, [this, asked, body, from] {
-      messenger.take(Envelope{from, 1, "lots", "placing", "reply", asked.call, true, body, protocol_number});
+  void send_placer_reply(const Envelope& request, Bytes body, const Address& from) {
+    world.at(std::chrono::milliseconds(1), incarnation, [this, request, body, from] {
+      messenger.take(Envelope{from, 1, "lots", "placing", "reply", request.call, true, body, protocol_number});
     });
   }
-  void serve(const Envelope& asked) {
-    auto give = [&](Bytes body, bool error = false) {
-      messenger.take(Envelope{self, 1, "lots", "store", error ? "fault" : "reply", asked.call, true, std::move(body),
+  void handle_store_request(const Envelope& request) {
+    auto send_reply = [&](Bytes body, bool error = false) {
+      messenger.take(Envelope{self, 1, "lots", "store", error ? "fault" : "reply", request.call, true, std::move(body),
                               protocol_number});
     };
-    auto refuse = [&](ErrorKind kind) {
-      give(to_cbor(WireError{static_cast<std::int32_t>(kind), "slot", "no", "ask again"}), true);
+    auto send_error = [&](ErrorKind kind) {
+      send_reply(to_cbor(WireError{static_cast<std::int32_t>(kind), "slot", "no", "ask again"}), true);
     };
-    if (asked.kind == "store.list") {
-      const auto list = *from_cbor<ListSlot>(asked.body);
+    if (request.kind == "store.list") {
+      const auto list = *from_cbor<ListSlot>(request.body);
       ListSlotReply records;
       for (const auto& [key, record] : store.records) {
         if (slot_of(key) != list.slot || record.removed) continue;
@@ -97,100 +100,103 @@
         });
         known ? records.unchanged.push_back(key) : records.records.push_back(record);
       }
-      return give(to_cbor(records));
+      return send_reply(to_cbor(records));
     }
-    if (asked.kind == "store.confirmslot")
-      return store.majority ? give(to_cbor(ConfirmReply{})) : refuse(ErrorKind::busy);
-    if (!store.majority) return refuse(ErrorKind::unknown);
-    const auto write = *from_cbor<Write>(asked.body);
-    growth = write.growth;
+    if (request.kind == "store.confirmslot")
+      return store.majority ? send_reply(to_cbor(ConfirmReply{})) : send_error(ErrorKind::busy);
+    if (!store.majority) return send_error(ErrorKind::unknown);
+    const auto write = *from_cbor<Write>(request.body);
+    expected_growth = write.growth;
     ++writes;
     Record& record = store.records[write.key];
     if (write.expected && *write.expected != record.stamp.version.value)
-      return record.token == write.token ? give(to_cbor(WriteReply{record.stamp, record.entries.size()}))
-                                         : refuse(ErrorKind::stale);
+      return record.token == write.token ? send_reply(to_cbor(WriteReply{record.stamp, record.entries.size()}))
+                                         : send_error(ErrorKind::stale);
     record.key = write.key;
     record.removed = write.removed;
     record.token = write.token;
     if (write.head) record.head = *write.head;
     record.entries.insert(record.entries.end(), write.appends.begin(), write.appends.end());
     record.stamp = record.written = Stamp{Epoch{epoch_}, record.stamp.version.next()};
-    give(to_cbor(WriteReply{record.stamp, record.entries.size()}));
+    send_reply(to_cbor(WriteReply{record.stamp, record.entries.size()}));
   }
   void wait(Duration span) { world.run_until(world.now() + span); }
-  // Asks the owner, and gives the call's number.
+  // Sends a request to the owner and returns the number of the call.
   template <class Message>
-  std::uint64_t call(const Message& message, const Address& from = Address("10.0.0.2:1")) {
+  std::uint64_t send_request(const Message& message, const Address& from = Address("10.0.0.2:1")) {
     messenger.take(Envelope{from, 7, "lots", "placing", std::string(Message::kind), ++calls, false, to_cbor(message),
                             protocol_number});
     return calls;
   }
-  const Envelope* answer_to(std::uint64_t number) const {
+  const Envelope* reply_to_call(std::uint64_t number) const {
     for (const auto& each : sent)
       if (each.reply && each.call == number) return &each;
     return nullptr;
   }
   template <class Message>
-  Result<typename Message::Reply> ask(const Message& message, Duration span = std::chrono::milliseconds(50)) {
-    const std::uint64_t number = call(message);
+  Result<typename Message::Reply> request(const Message& message, Duration span = std::chrono::milliseconds(50)) {
+    const std::uint64_t number = send_request(message);
     wait(span);
-    const Envelope* answer = answer_to(number);
-    REQUIRE(answer != nullptr);
-    if (answer->kind == "fault") return error_in(*answer);
-    auto reply = from_cbor<typename Message::Reply>(answer->body);
-    REQUIRE(reply);
-    return *reply;
+    const Envelope* reply = reply_to_call(number);
+    REQUIRE(reply != nullptr);
+    if (reply->kind == "fault") return error_in(*reply);
+    auto content = from_cbor<typename Message::Reply>(reply->body);
+    REQUIRE(content);
+    return *content;
   }
   template <class Message>
-  typename Message::Reply good(const Message& message, Duration span = std::chrono::milliseconds(50)) {
-    auto result = ask(message, span);
+  typename Message::Reply request_ok(const Message& message, Duration span = std::chrono::milliseconds(50)) {
+    auto result = request(message, span);
     if (auto error = error_of(result)) FAIL(error->message);
     return std::get<0>(result);
   }
   template <class Message>
-  ErrorKind error_kind_of(const Message& message) {
-    auto result = ask(message);
+  ErrorKind request_error_kind(const Message& message) {
+    auto result = request(message);
     REQUIRE(error_of(result) != nullptr);
     return error_of(result)->kind;
   }
-  static LotSpecification batch(std::size_t count, const Bytes& body = "body") {
-    LotSpecification head;
-    head.lane = "bulk";
-    head.batch = true;
-    head.host = "host.example";
-    head.completion = std::chrono::seconds(8);
-    head.retention = std::chrono::seconds(20);
-    head.attempts = 2;
+  static LotSpecification make_batch(std::size_t count, const Bytes& body = "body") {
+    LotSpecification spec;
+    spec.lane = "bulk";
+    spec.batch = true;
+    spec.host = "host.example";
+    spec.completion = std::chrono::seconds(8);
+    spec.retention = std::chrono::seconds(20);
+    spec.attempts = 2;
     for (std::size_t index = 0; index < count; ++index)
-      head.items.push_back(LotItem{"item-" + std::to_string(index), "/bulk/" + std::to_string(index), {}, body, 10});
-    return head;
+      spec.items.push_back(LotItem{"item-" + std::to_string(index), "/bulk/" + std::to_string(index), {}, body, 10});
+    return spec;
   }
-  std::vector<PlacedItem> fetch(std::uint32_t count) { return good(FetchItems{"model", "model-1", count, 1, 0}).items; }
-  bool finish(const PlacedItem& item, const std::string& outcome, const Bytes& body = {}, StreamPart part = {},
+  std::vector<PlacedItem> fetch(std::uint32_t count) {
+    return request_ok(FetchItems{"model", "model-1", count, 1, 0}).items;
+  }
+  // Reports the item's outcome, and returns whether the owner has acknowledged the report.
+  bool report(const PlacedItem& item, const std::string& outcome, const Bytes& body = {}, PartialStream part = {},
               std::uint32_t failures = 0) {
-    auto result = ask(
-        FinishItems{{FinishItem{item.lot, item.item, item.attempt, outcome, 200, body, std::move(part), failures}}});
-    return error_of(result) == nullptr && std::get<FinishReply>(result).heard.size() == 1;
+    auto result = request(
+        FinishItems{{ItemReport{item.lot, item.item, item.attempt, outcome, 200, body, std::move(part), failures}}});
+    return error_of(result) == nullptr && std::get<ReportItemsReply>(result).acknowledged.size() == 1;
   }
   LotPage read(const std::string& id, std::uint32_t after = 0, std::uint32_t limit = 1000) {
-    return good(ReadLot{id, after, limit, {}});
+    return request_ok(ReadLot{id, after, limit, {}});
   }
 
   const Address self{"10.0.0.1:1"};
-  KeptStore& store;
+  ScriptedStore& store;
   simulate::World world{3};
-  simulate::LifePointer life = std::make_shared<simulate::Life>();
-  simulate::SimulatedTimers timers{world, life};
+  simulate::LifePointer incarnation = std::make_shared<simulate::Life>();
+  simulate::SimulatedTimers timers{world, incarnation};
   SharedState shared_state;
   Members members;
   ConfigurationView view;
   Messenger messenger{*this, timers, self, 1, "lots"};
   std::vector<Envelope> sent;
-  std::vector<Address> asked_slots;
-  bool holds_answer = true;
-  std::vector<ItemName> held;  // what the placers say that they hold
+  std::vector<Address> placers_asked;
+  bool placers_reply = true;
+  std::vector<ItemName> held_items;  // the items that the placers report to hold
   std::uint64_t calls = 1000, writes = 0;
-  std::uint64_t growth = 0;  // as the last write told it
+  std::uint64_t expected_growth = 0;  // the value stated by the last write
 
  private:
   std::uint64_t epoch_;
@@ -199,39 +205,42 @@
   Lots lots;
 };
 
-// The dialect of a test: the item's id and the last event stand in headers of their own.
+// A dialect with simple headers for the item's id, the runner, the expected version and the last event.
 class TestDialect : public PlainDialect {
  public:
-  void write_attempt(AttemptRequest& request, const RequestInfo& facts, const AttemptInfo& attempt) const override {
-    request.headers.push_back({"Id", facts.id});
+  void write_attempt(AttemptRequest& request, const RequestInfo& request_info,
+                     const AttemptInfo& attempt) const override {
+    request.headers.push_back({"Id", request_info.id});
     request.headers.push_back({"For", attempt.runner});
     if (!attempt.version.empty()) request.headers.push_back({"Expected", attempt.version});
     if (attempt.last_event) request.headers.push_back({"After", std::to_string(*attempt.last_event)});
   }
-  ResponseInfo read_answer(int status, const std::vector<Header>& headers, const RequestInfo& facts) const override {
-    ResponseInfo answer;
-    answer.not_run = header_of(headers, "Not-Run") != nullptr;
-    if (const auto* id = header_of(headers, "Id")) answer.foreign = *id != facts.id;
-    if (const auto* version = header_of(headers, "Version")) answer.version = *version;
-    answer.other_instance = status == 421;
-    return answer;
+  ResponseInfo read_answer(int status, const std::vector<Header>& headers,
+                           const RequestInfo& request_info) const override {
+    ResponseInfo response;
+    response.not_run = header_of(headers, "Not-Run") != nullptr;
+    if (const auto* id = header_of(headers, "Id")) response.foreign = *id != request_info.id;
+    if (const auto* version = header_of(headers, "Version")) response.version = *version;
+    response.other_instance = status == 421;
+    return response;
   }
   StringView version_field() const override { return "weights"; }
 };
 
-class PlayedExchange : public RunnerClient {
+// Records the attempts; the test plays the runners through the observers.
+class FakeRunnerClient : public RunnerClient {
  public:
   struct Attempt {
     AttemptRequest request;
-    std::shared_ptr<AttemptObserver> watcher;
+    std::shared_ptr<AttemptObserver> observer;
     bool cancelled = false;
     std::string header(StringView name) const {
       const auto* value = header_of(request.headers, name);
       return value == nullptr ? "" : *value;
     }
   };
-  Id start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> watcher) override {
-    attempts.push_back(Attempt{request, std::move(watcher), false});
+  Id start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> observer) override {
+    attempts.push_back(Attempt{request, std::move(observer), false});
     return attempts.size();
   }
   void cancel(Id id) override { attempts[id - 1].cancelled = true; }
@@ -239,9 +248,10 @@
   std::deque<Attempt> attempts;
 };
 
+// Runs an item placer for one runner, and plays the owner of the lots.
 class PlacerFixture : public Transport {
  public:
-  PlacerFixture() : placing(messenger, shared_state, exchange, world.random, dialect) {
+  PlacerFixture() : placer(messenger, shared_state, runner_client, world.random, dialect) {
     Member member;
     member.address = self;
     member.incarnation = 7;
@@ -255,15 +265,16 @@
     put("runner/model-1", R"({"kind":"model","address":"10.0.1.1:80","zone":"h","slots":4})");
     put("circle/model", R"({"placers":{"model-1":{"address":"10.0.0.2:1","incarnation":7,"term":1}},"term":1})");
     shared_state.lease_until = std::chrono::microseconds(std::chrono::hours(1)).count();
-    placing.start();
-    for (int second = 0; second < 3; ++second) pass_second();
+    placer.start();
+    for (int second = 0; second < 3; ++second) advance_second();
   }
-  ~PlacerFixture() override { life->alive = false; }
+  ~PlacerFixture() override { incarnation->alive = false; }
   void put(const std::string& key, const Bytes& value) {
     REQUIRE(put_in_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
-  void pass_second() {
+  // Lets a second pass and then refreshes the load totals.
+  void advance_second() {
     wait(std::chrono::seconds(1));
     shared_state.load.set({{"model", KindTotals{world.now(), {}}}});
   }
@@ -275,30 +286,30 @@
       const auto count = std::min<std::size_t>(offered.size(), from_cbor<FetchItems>(envelope.body)->count);
       reply.items.assign(offered.begin(), offered.begin() + static_cast<std::ptrdiff_t>(count));
       offered.erase(offered.begin(), offered.begin() + static_cast<std::ptrdiff_t>(count));
-      return answer(envelope, to_cbor(reply), delay);
+      return send_reply(envelope, to_cbor(reply), fetch_reply_delay);
     }
     if (!envelope.reply && envelope.kind == "lots.finish") {
       const auto message = *from_cbor<FinishItems>(envelope.body);
-      FinishReply reply;
-      for (std::uint32_t place = 0; place < message.items.size() && hears; ++place) {
-        finished.push_back(message.items[place]);
-        reply.heard.push_back(place);
+      ReportItemsReply reply;
+      for (std::uint32_t index = 0; index < message.items.size() && acknowledges; ++index) {
+        reports.push_back(message.items[index]);
+        reply.acknowledged.push_back(index);
       }
-      return answer(envelope, to_cbor(reply));
+      return send_reply(envelope, to_cbor(reply));
     }
     sent.push_back(std::move(envelope));
   }
-  void answer(const Envelope& asked, Bytes body, Duration after = std::chrono::milliseconds(1)) {
-    world.at(after, life, [this, asked, body] {
-      messenger.take(Envelope{self, 1, "placing", "lots", "reply", asked.call, true, body, protocol_number});
+  void send_reply(const Envelope& request, Bytes body, Duration after = std::chrono::milliseconds(1)) {
+    world.at(after, incarnation, [this, request, body] {
+      messenger.take(Envelope{self, 1, "placing", "lots", "reply", request.call, true, body, protocol_number});
     });
   }
   template <class Message>
-  void tell(const Message& message) {
+  void send_message(const Message& message) {
     messenger.take(
         Envelope{self, 7, "placing", "lots", std::string(Message::kind), 0, false, to_cbor(message), protocol_number});
   }
-  static PlacedItem item(std::uint32_t index = 0, StreamPart part = {}) {
+  static PlacedItem make_item(std::uint32_t index = 0, PartialStream part = {}) {
     return PlacedItem{"lot",
                       "bulk",
                       index,
@@ -309,41 +320,42 @@
                       LotItem{"item-" + std::to_string(index), "/bulk/x", {{"Model", "m"}}, "body", 10},
                       std::move(part)};
   }
-  // Has the placer fetch and send what is offered; gives the attempt.
-  PlayedExchange::Attempt& offer(PlacedItem placed) {
+  // Lets the placer fetch the item and send it to the runner, and returns the attempt.
+  FakeRunnerClient::Attempt& dispatch(PlacedItem placed) {
     offered.push_back(std::move(placed));
-    tell(PendingItems{{{"model", 1}}, {}});
+    send_message(PendingItems{{{"model", 1}}, {}});
     wait(std::chrono::milliseconds(200));
-    REQUIRE_FALSE(exchange.attempts.empty());
-    return exchange.attempts.back();
+    REQUIRE_FALSE(runner_client.attempts.empty());
+    return runner_client.attempts.back();
   }
-  FinishItem end(PlayedExchange::Attempt& attempt, int status, const Bytes& bytes,
-                 AttemptOutcome how = AttemptOutcome::whole, std::vector<Header> headers = {}) {
-    if (status > 0) attempt.watcher->on_head(status, headers);
-    // In small pieces, so that events come in parts.
-    for (std::size_t at = 0; at < bytes.size(); at += 7) attempt.watcher->on_chunk(StringView(bytes).substr(at, 7));
-    attempt.watcher->on_end(how);
+  // Plays the runner's response to the attempt, and returns the placer's report.
+  ItemReport complete(FakeRunnerClient::Attempt& attempt, int status, const Bytes& bytes,
+                      AttemptOutcome outcome = AttemptOutcome::whole, std::vector<Header> headers = {}) {
+    if (status > 0) attempt.observer->on_head(status, headers);
+    // Small chunks split the events.
+    for (std::size_t at = 0; at < bytes.size(); at += 7) attempt.observer->on_chunk(StringView(bytes).substr(at, 7));
+    attempt.observer->on_end(outcome);
     wait(std::chrono::milliseconds(200));
-    REQUIRE_FALSE(finished.empty());
-    return finished.back();
+    REQUIRE_FALSE(reports.empty());
+    return reports.back();
   }
 
   const Address self{"10.0.0.2:1"};
   simulate::World world{3};
-  simulate::LifePointer life = std::make_shared<simulate::Life>();
-  simulate::SimulatedTimers timers{world, life};
+  simulate::LifePointer incarnation = std::make_shared<simulate::Life>();
+  simulate::SimulatedTimers timers{world, incarnation};
   SharedState shared_state;
   ConfigurationView view;
   TestDialect dialect;
-  PlayedExchange exchange;
+  FakeRunnerClient runner_client;
   Messenger messenger{*this, timers, self, 7, "placing"};
   std::vector<Envelope> sent;
   std::vector<PlacedItem> offered;
-  std::vector<FinishItem> finished;
-  Duration delay = std::chrono::milliseconds(1);  // of the answers to fetches
-  bool hears = true;
+  std::vector<ItemReport> reports;
+  Duration fetch_reply_delay = std::chrono::milliseconds(1);  // the time until a fetch is answered
+  bool acknowledges = true;
   int fetches = 0;
-  ItemPlacer placing;
+  ItemPlacer placer;
 };
 
 }  // namespace mothwalk
--- a/tests/lots_test.cpp
+++ b/tests/lots_test.cpp
@@ -1,4 +1,4 @@
-// The owner of lots against a scripted kept state: what it may say without a majority's word.
+// The owner of lots on a scripted store: what it may reply without the confirmation of a majority.
 #include <catch2/catch.hpp>
 
 #include "lots/lots.hpp"
@@ -7,7 +7,7 @@
 using namespace mothwalk;
 
 namespace {
-class Catcher : public Transport {
+class RecordingTransport : public Transport {
  public:
   void send(const Address&, Envelope envelope) override { sent.push_back(std::move(envelope)); }
   const Envelope* last(const std::string& kind) const {
@@ -19,8 +19,8 @@
 };
 }  // namespace
 
-TEST_CASE("an owner that can't confirm itself never waves a report away or denies a lot") {
-  Catcher wire;
+TEST_CASE("an owner that no majority confirms neither dismisses a report nor denies that a lot exists") {
+  RecordingTransport wire;
   simulate::World world(3);
   simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
   const Address self("10.0.0.1:1"), placer("10.0.0.2:1");
@@ -30,36 +30,36 @@
   const std::uint32_t slot = slot_of("lot/unheard-of");
   shared_state.owned.set(Ownership{{{slot, Epoch{4}}}});
   lots.start();
-  auto reply_to = [&](const Envelope& asked, bool error) {
+  auto reply_to = [&](const Envelope& request, bool error) {
     messenger.take(
-        Envelope{self, 1, "lots", "store", error ? "fault" : "reply", asked.call, true,
+        Envelope{self, 1, "lots", "store", error ? "fault" : "reply", request.call, true,
                  error ? to_cbor(WireError{static_cast<std::int32_t>(ErrorKind::busy), "slot", "moved", "ask again"})
-                 : asked.kind == "store.list" ? to_cbor(ListSlotReply{})
-                                              : to_cbor(ConfirmReply{}),
+                 : request.kind == "store.list" ? to_cbor(ListSlotReply{})
+                                                : to_cbor(ConfirmReply{}),
                  protocol_number});
   };
   REQUIRE(wire.last("store.list") != nullptr);
   reply_to(*wire.last("store.list"), false);
-  for (bool still_owner : {false, true}) {
+  for (bool confirmed_as_owner : {false, true}) {
     messenger.take(Envelope{placer, 1, "lots", "placing", "lots.finish", 77, false,
-                            to_cbor(FinishItems{{FinishItem{"unheard-of", 0, 1, "answer", 200, "done"}}}),
+                            to_cbor(FinishItems{{ItemReport{"unheard-of", 0, 1, "answer", 200, "done"}}}),
                             protocol_number});
     REQUIRE(wire.last("store.confirmslot") != nullptr);
-    reply_to(*wire.last("store.confirmslot"), !still_owner);
+    reply_to(*wire.last("store.confirmslot"), !confirmed_as_owner);
     CHECK(wire.sent.back().call == 77);
-    CHECK(wire.sent.back().kind == (still_owner ? "reply" : "fault"));
+    CHECK(wire.sent.back().kind == (confirmed_as_owner ? "reply" : "fault"));
     messenger.take(Envelope{placer, 1, "lots", "control", "lots.cancel", 78, false, to_cbor(CancelLot{"unheard-of"}),
                             protocol_number});
-    reply_to(*wire.last("store.confirmslot"), !still_owner);
+    reply_to(*wire.last("store.confirmslot"), !confirmed_as_owner);
     CHECK(wire.sent.back().call == 78);
     const auto error = from_cbor<WireError>(wire.sent.back().body);
     REQUIRE(error);
-    CHECK(error->kind == static_cast<std::int32_t>(still_owner ? ErrorKind::unknown_name : ErrorKind::busy));
+    CHECK(error->kind == static_cast<std::int32_t>(confirmed_as_owner ? ErrorKind::unknown_name : ErrorKind::busy));
   }
 }
 
-TEST_CASE("of two placers that race for one runner only the one of the higher term gets items") {
-  Catcher wire;
+TEST_CASE("of two placers that compete for a runner only the one with the higher term gets items") {
+  RecordingTransport wire;
   simulate::World world(3);
   simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
   const Address self("10.0.0.1:1"), old_placer("10.0.0.2:1"), new_placer("10.0.0.3:1");
@@ -72,20 +72,20 @@
   }
   shared_state.members.set(std::move(members));
   Lots lots(messenger, shared_state);
-  auto ask = [&](const Address& placer, std::uint64_t term) {
+  auto fetch = [&](const Address& placer, std::uint64_t term) {
     messenger.take(Envelope{placer, 1, "lots", "placing", "lots.fetch", 9, false,
                             to_cbor(FetchItems{"model", "model-1", 4, term, 0}), protocol_number});
     return wire.sent.back().kind;
   };
-  CHECK(ask(old_placer, 3) == "reply");
-  CHECK(ask(new_placer, 3) == "fault");
-  CHECK(ask(new_placer, 4) == "reply");
-  CHECK(ask(old_placer, 3) == "fault");
-  // The news may know more than any fetch has told.
+  CHECK(fetch(old_placer, 3) == "reply");
+  CHECK(fetch(new_placer, 3) == "fault");
+  CHECK(fetch(new_placer, 4) == "reply");
+  CHECK(fetch(old_placer, 3) == "fault");
+  // The configuration may name a newer placer than any fetch so far.
   ConfigurationView view;
   const Bytes circle = R"({"placers":{"model-1":{"address":"10.0.0.2:1","incarnation":5,"term":7}},"term":7})";
   REQUIRE(put_in_view(view, "circle/model", &circle, Stamp{}));
   shared_state.configuration.set(view);
-  CHECK(ask(new_placer, 4) == "fault");
-  CHECK(ask(old_placer, 7) == "reply");
+  CHECK(fetch(new_placer, 4) == "fault");
+  CHECK(fetch(old_placer, 7) == "reply");
 }
