--- a/source/lots/item_placer.hpp
+++ b/source/lots/item_placer.hpp
@@ -29,14 +29,14 @@
   // What this daemon knows of a runner that it is, or was, the placer of.
   struct RunnerState {
     std::uint32_t open_items = 0;
-    std::uint64_t open_tokens = 0;  // the tokens of the open items
+    std::uint64_t open_tokens = 0;  // The sum over the open items.
     bool fetching = false;
     TimePoint next_fetch_at;
     std::uint32_t failures = 0;
     // Since when the runner must not get items, and since when this daemon is its placer under the current term.
     std::optional<TimePoint> rejecting_since, appointed_since;
     TimePoint last_send;
-    std::deque<TimePoint> recent_sends;  // sends within the last second, if the kind limits their rate
+    std::deque<TimePoint> recent_sends;  // Filled only if the kind limits the rate of sends; kept for about a second.
     std::uint64_t term = 0;
   };
   struct Attempt {
@@ -86,9 +86,9 @@
   RandomSource& random_;
   const Dialect& dialect_;
   std::map<std::string, RunnerState> runner_states_;
-  std::set<std::string> own_runners_;  // the runners whose placer this daemon was at the last tick
+  std::set<std::string> own_runners_;  // The runners whose placer this daemon was at the last tick.
   std::map<std::uint64_t, Attempt> attempts_;
-  std::set<ItemName> held_items_;  // items from their fetch until the owner has acknowledged the report
+  std::set<ItemName> held_items_;  // An item is held from its fetch until the owner has acknowledged the report.
   struct Report {
     ItemReport item;
     bool in_flight = false;
--- a/source/lots/lots.hpp
+++ b/source/lots/lots.hpp
@@ -13,9 +13,9 @@
 
 struct LotCounts {
   std::uint64_t slots_loaded = 0, lots_rebuilt = 0;  // Rebuilt lots were read from their records.
-  std::uint64_t lots_kept = 0;        // lots that were kept in memory when this owner regained their slot
-  std::uint64_t items_too_large = 0;  // submitted items that no runner of their lane has enough memory for
-  std::uint64_t items_rested = 0;     // backoffs of items whose runs made no progress
+  std::uint64_t lots_kept = 0;        // These lots were still in memory when this owner regained their slot.
+  std::uint64_t items_too_large = 0;  // No runner of their lane has enough memory for these submitted items.
+  std::uint64_t items_rested = 0;     // Counts the backoffs of items whose runs made no progress.
   MOTHWALK_FIELDS(slots_loaded, lots_rebuilt, lots_kept, items_too_large, items_rested)
 };
 
@@ -32,7 +32,7 @@
   struct Item {
     ItemState state = ItemState::pending;
     std::uint64_t attempt = 0;
-    std::uint32_t tries = 0, failures = 0;  // runs started so far; responses with status 500 so far
+    std::uint32_t tries = 0, failures = 0;  // Counts of runs started and of responses with status 500.
     // Consecutive runs that a runner refused or broke off and that added nothing to the partial response.
     std::uint32_t runs_without_progress = 0;
     Address placer;
@@ -50,18 +50,18 @@
   struct Lot {
     std::string id;
     Epoch epoch;
-    Stamp record_stamp;  // the stamp of the record's last write that this owner knows of
+    Stamp record_stamp;  // The stamp of the record's last write that this owner knows of.
     LotSpecification spec;
-    std::string content_digest;  // equal if the same content is submitted again
+    std::string content_digest;  // It is equal if the same content is submitted again.
     std::vector<Item> items;
-    std::vector<LotEntry> results;  // results that are on a majority of disks, by position
+    std::vector<LotEntry> results;  // They are on a majority of disks and indexed by position.
     // Items that are free to run, and items that a placer has or whose start or result is being written.
     std::set<std::uint32_t> pending, in_progress;
-    std::map<std::uint32_t, TimePoint> backoff_until;  // pending items that are handed out after all others until then
+    std::map<std::uint32_t, TimePoint> backoff_until;  // Until then a pending item is handed out after all others.
     std::uint32_t largest_item_tokens = 0;
     std::vector<Waiter> waiters;
     bool cancelled = false, cancelling = false, removing = false;
-    TimePoint submitted_at;  // on this process's clock: derived from the elapsed time that the record states
+    TimePoint submitted_at;  // Derived from the elapsed time in the record, on this process's clock.
     TimePoint due;           // Lots that are due earlier are served first.
     TimePoint closed_at;
     bool finished() const { return results.size() == items.size(); }
@@ -77,7 +77,7 @@
     bool confirmation_in_progress = false;
     std::vector<std::function<void(bool)>> lease_waiters;
     SlotLots lots;
-    SlotLots former_lots;  // the lots at the time the slot was released, kept until it is loaded again
+    SlotLots former_lots;  // The lots when the slot was released. They are kept until it is loaded again.
     TimePoint released_at;
   };
   struct ReportBatch;
@@ -184,10 +184,10 @@
   Messenger& messenger_;
   SharedState& shared_state_;
   std::vector<Slot> slots_{slot_count};
-  std::set<std::pair<TimePoint, std::string>> queue_;  // lots with items to hand out, ordered by due time
-  std::map<std::string, Placer> newest_placers_;       // by runner, the placer with the highest known term
-  std::map<std::string, double> mean_run_seconds_;     // by lane, a moving mean of the items' run times
-  double mean_result_bytes_ = 0;                       // a moving mean of the results' sizes
+  std::set<std::pair<TimePoint, std::string>> queue_;  // The lots with items to hand out, ordered by due time.
+  std::map<std::string, Placer> newest_placers_;       // The placer with the highest known term, by runner.
+  std::map<std::string, double> mean_run_seconds_;     // A moving mean of the items' run times, by lane.
+  double mean_result_bytes_ = 0;                       // A moving mean of the results' sizes.
   std::uint64_t ticks_ = 0, last_waiter_number_ = 0;
   bool publish_soon_ = false;  // Demand has changed and is published earlier than its regular interval requires.
   bool load_in_progress_ = false;
--- a/source/lots/messages.hpp
+++ b/source/lots/messages.hpp
@@ -11,7 +11,7 @@
   std::string id, path;
   std::vector<Header> headers;
   Bytes body;
-  std::uint32_t tokens = 0;  // the prompt's tokens plus the maximum of output tokens
+  std::uint32_t tokens = 0;  // The prompt's tokens plus the maximum number of output tokens.
   MOTHWALK_FIELDS(id, path, headers, body, tokens)
 };
 struct LotSpecification {
@@ -23,14 +23,14 @@
   Duration completion{};  // Batches only: all results are due this long after the submission.
   Duration retention{};   // Batches only: items may be abandoned this long after the submission.
   std::uint32_t attempts = 0;  // Batches only: this many responses with status 500 end an item.
-  std::uint64_t revision = 0;  // the revision of the configuration in which the lane was found
+  std::uint64_t revision = 0;  // The revision of the configuration in which the lane was found.
   MOTHWALK_FIELDS(lane, deadline, items, batch, host, completion, retention, attempts, revision)
 };
 
 // An entry that is appended to a lot's record. `elapsed` is the time since submission by the owner's monotonic clock,
 // so deadlines need no wall clock and survive a change of owner.
 struct LotEntry {
-  std::string what;  // "start", "result" or "cancel"
+  std::string what;  // The type of the entry: "start", "result" or "cancel".
   std::uint32_t item = 0;
   std::uint64_t attempt = 0;
   Address placer;
@@ -66,7 +66,7 @@
   std::string outcome;
   std::int32_t status = 0;
   Bytes body;           // In a batch, the data of all events in order, joined by line feeds.
-  std::string id = {};  // the item's own id, or its position in a plain lot
+  std::string id = {};  // The item's own id, or in a plain lot its position.
   MOTHWALK_FIELDS(position, item, outcome, status, body, id)
 };
 struct LotPage {
@@ -80,7 +80,7 @@
   using Reply = LotPage;
   std::string id;
   std::uint32_t after = 0, limit = 0;
-  Duration wait{};  // how long the reply may wait for a result at position `after`; limited to one second
+  Duration wait{};  // How long the reply may wait for a result at position `after`, at most 1 s.
   MOTHWALK_FIELDS(id, after, limit, wait)
 };
 struct ItemBody {
@@ -108,8 +108,8 @@
 // Sent by owners to placers: by kind of runner, how many items wait to be fetched.
 struct PendingItems {
   static constexpr StringView kind = "placing.pending";
-  std::map<std::string, std::uint32_t> kinds;  // items that can still finish in time
-  std::map<std::string, std::uint32_t> late;   // items that can no longer finish in time
+  std::map<std::string, std::uint32_t> kinds;  // Items that can still finish in time.
+  std::map<std::string, std::uint32_t> late;   // Items that can no longer finish in time.
   MOTHWALK_FIELDS(kinds, late)
 };
 // The demand of an owner's lots for runners of a kind: how many items wait, and how many items have to run at once to
@@ -128,8 +128,8 @@
 // The complete events that were received of an item's response, so that any runner can resume after the last of them.
 struct PartialStream {
   Bytes text;
-  std::uint64_t last_event = 0;  // the id of the last complete event, or 0 for none
-  std::string version;           // the version of the model weights that produced the text
+  std::uint64_t last_event = 0;  // The id of the last complete event, or 0 for none.
+  std::string version;           // The version of the model weights that produced the text.
   MOTHWALK_FIELDS(text, last_event, version)
 };
 // An item as it is handed out to a placer.
@@ -137,7 +137,7 @@
   std::string lot, lane;
   std::uint32_t item = 0;
   std::uint64_t attempt = 0;
-  std::uint32_t failures = 0;  // responses with status 500 so far
+  std::uint32_t failures = 0;  // The number of responses with status 500 so far.
   bool batch = false;
   std::string host;
   LotItem request;
@@ -146,7 +146,7 @@
 };
 struct ItemsReply {
   std::vector<PlacedItem> items;
-  std::uint32_t remaining = 0, late = 0;  // the owner's remaining items for the kind, as in PendingItems
+  std::uint32_t remaining = 0, late = 0;  // The owner's remaining items for the kind, as in PendingItems.
   MOTHWALK_FIELDS(items, remaining, late)
 };
 // Asks an owner for items to run on a runner.
@@ -155,8 +155,8 @@
   using Reply = ItemsReply;
   std::string runner_kind, runner;
   std::uint32_t count = 0;
-  std::uint64_t term = 0;    // the term of the sender's appointment as this runner's placer
-  std::uint64_t tokens = 0;  // the most tokens that the items may have in total; 0 for no bound
+  std::uint64_t term = 0;    // The term of the sender's appointment as this runner's placer.
+  std::uint64_t tokens = 0;  // The maximum sum of the items' tokens, or 0 for no bound.
   MOTHWALK_FIELDS(runner_kind, runner, count, term, tokens)
 };
 // Identifies one attempt at an item.
@@ -214,7 +214,7 @@
   MOTHWALK_FIELDS(lot, item, attempt, outcome, status, body, part, failures)
 };
 struct ReportItemsReply {
-  std::vector<std::uint32_t> acknowledged;  // indices of the reports that need not be sent again
+  std::vector<std::uint32_t> acknowledged;  // The indices of the reports that need not be sent again.
   MOTHWALK_FIELDS_AS("heard", acknowledged)
 };
 // Reports finished attempts to the owner of their lots.
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -266,7 +266,8 @@
   owner.request_ok(SubmitLot{"lot", OwnerFixture::make_batch(4)});
   const auto items = owner.fetch(4);
   CHECK(owner.report(items[0], "answer", Bytes(400000, 'x')));
-  CHECK(owner.report(items[1], "answer", Bytes(400000, '"')));  // twice as long in JSON
+  // In JSON the quotes are escaped, which doubles the length.
+  CHECK(owner.report(items[1], "answer", Bytes(400000, '"')));
   CHECK(owner.report(items[2], "answer", Bytes(2000000, 'y')));
   CHECK(owner.report(items[3], "answer", "z"));
   CHECK(owner.read("lot").results.size() == 1);
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -18,8 +18,8 @@
 // The replicated store. It outlives the fixtures: two owners on one store are an owner and its successor.
 struct ScriptedStore {
   std::map<std::string, Record> records;
-  bool majority = true;                                 // whether writes and ownership confirmations succeed
-  Duration write_delay = std::chrono::milliseconds(1);  // the time until a write is answered
+  bool majority = true;                                 // Whether writes and ownership confirmations succeed.
+  Duration write_delay = std::chrono::milliseconds(1);  // The time until a write is answered.
 };
 
 // Runs an owner that owns all slots, and plays the store and the placers that it talks to.
@@ -194,9 +194,9 @@
   std::vector<Envelope> sent;
   std::vector<Address> placers_asked;
   bool placers_reply = true;
-  std::vector<ItemName> held_items;  // the items that the placers report to hold
+  std::vector<ItemName> held_items;  // The items that the placers report to hold.
   std::uint64_t calls = 1000, writes = 0;
-  std::uint64_t expected_growth = 0;  // the value stated by the last write
+  std::uint64_t expected_growth = 0;  // The value stated by the last write.
 
  private:
   std::uint64_t epoch_;
@@ -352,7 +352,7 @@
   std::vector<Envelope> sent;
   std::vector<PlacedItem> offered;
   std::vector<ItemReport> reports;
-  Duration fetch_reply_delay = std::chrono::milliseconds(1);  // the time until a fetch is answered
+  Duration fetch_reply_delay = std::chrono::milliseconds(1);  // The time until a fetch is answered.
   bool acknowledges = true;
   int fetches = 0;
   ItemPlacer placer;
