--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,6 @@
-// The scale run at a small size, by counts and virtual time: what each daemon sends does not grow with the fleet where
-// it should not, changes and losses are known in time, and sizes that do not fit are refused before anything starts.
+// Runs the scale simulation at small sizes and checks it by message counts and virtual time: traffic per daemon does
+// not grow with the number of daemons, changes and lost daemons become known everywhere in time, and sizes out of range
+// are refused before the simulation starts.
 #include <catch2/catch.hpp>
 
 #include "scale/scale.hpp"
@@ -21,7 +22,7 @@
   return size;
 }
 
-double of_each(const scale::Figures& figures, const std::string& message) {
+double rate_per_daemon(const scale::Figures& figures, const std::string& message) {
   auto found = figures.messages.find(message);
   return found == figures.messages.end() ? 0
                                          : static_cast<double>(found->second.messages) / figures.seconds /
@@ -30,21 +31,20 @@
 
 }  // namespace
 
-TEST_CASE(
-    "at two sizes of a fleet, changes and losses are known in time and no daemon sends more for there being others") {
-  const scale::Figures few = scale::run(small_size(12)), more = scale::run(small_size(24));
-  for (const auto* figures : {&few, &more}) {
+TEST_CASE("at two fleet sizes, changes and losses become known in time and traffic per daemon does not grow") {
+  const scale::Figures small_fleet = scale::run(small_size(12)), large_fleet = scale::run(small_size(24));
+  for (const auto* figures : {&small_fleet, &large_fleet}) {
     CHECK(figures->broken.empty());
     CHECK(figures->change.worst <= 2000);
     CHECK(figures->lost_edge <= 2000);
     CHECK(figures->lost_control <= 2000);
-    CHECK(of_each(*figures, "sessions.beat") <= 5.01);
+    CHECK(rate_per_daemon(*figures, "sessions.beat") <= 5.01);
   }
-  CHECK(more.edge.bytes_out <= few.edge.bytes_out * 1.1);
-  CHECK(more.storage.bytes_out <= few.storage.bytes_out * 1.1);
+  CHECK(large_fleet.edge.bytes_out <= small_fleet.edge.bytes_out * 1.1);
+  CHECK(large_fleet.storage.bytes_out <= small_fleet.storage.bytes_out * 1.1);
 }
 
-TEST_CASE("a size that does not fit is refused with its bound and a remedy") {
+TEST_CASE("a size out of range is refused with an error that names the field and a remedy") {
   const std::uint64_t memory = 32ull << 30;
   auto field_of = [&](scale::Size size) {
     auto result = scale::check_size(size, memory);
@@ -72,11 +72,11 @@
   CHECK(scale::check_size(size, 1ull << 30).index() == 1);
 }
 
-TEST_CASE("control daemons that nothing moved at tell each other no sessions, however many these are") {
-  const scale::Figures few = scale::run(small_size(12)), more = scale::run(small_size(48));
-  auto share_bytes = [](const scale::Figures& figures) {
-    const auto& shares = figures.messages.at("sessions.share");
-    return static_cast<double>(shares.bytes) / static_cast<double>(shares.messages);
+TEST_CASE("control daemons whose sessions did not change send each other no sessions, whatever the fleet's size") {
+  const scale::Figures small_fleet = scale::run(small_size(12)), large_fleet = scale::run(small_size(48));
+  auto bytes_per_exchange = [](const scale::Figures& figures) {
+    const auto& exchanges = figures.messages.at("sessions.share");
+    return static_cast<double>(exchanges.bytes) / static_cast<double>(exchanges.messages);
   };
-  CHECK(share_bytes(more) <= share_bytes(few) * 1.1);
+  CHECK(bytes_per_exchange(large_fleet) <= bytes_per_exchange(small_fleet) * 1.1);
 }
