--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -1,5 +1,6 @@
-// Daemons made of the product's own duty objects for control state, on the deterministic scheduler: sessions, news,
-// founding, the replicated store, and the calls of operators. The wire between them follows a schedule.
+// A cluster of simulated daemons on the deterministic scheduler. Each daemon consists of the product's own components
+// for control state: sessions, configuration gossip, founding, the replicated store and the operators' calls. A
+// schedule decides which messages between them are lost or delayed.
 #pragma once
 #include <unordered_map>
 
@@ -14,46 +15,48 @@
 
 class Cluster;
 
-// Takes any text for a configuration document without content.
+// A document format that accepts any text and reads no lanes, kinds or limits from it.
 class AnyDocument : public ConfigurationFormat {
  public:
   Result<ConfigurationContent> read(StringView) const override { return ConfigurationContent{}; }
 };
 
+// How a machine is set up: its name, its zone and whether it is a storage node.
 struct MachineSetup {
   std::string name, zone;
   bool has_disk = true;
-  std::string keeps = "control";  // as in Member
+  std::string keeps = "control";  // the value of Member::keeps
 };
 
 Address address_of(const std::string& machine);
-// The roster of the named machines, as if founded in an earlier life.
+// Returns the roster whose voters are the named machines, as if it had been founded before the run.
 Roster first_roster(const std::vector<MachineSetup>& machines, const std::vector<std::string>& names);
 
+// A machine with its disk, which outlives processes, and its daemon process, if one is running.
 class Machine : public Transport {
  public:
   Machine(Cluster& cluster, MachineSetup setup);
   void start();
-  void crash(std::uint32_t mask);
+  void crash(std::uint32_t mask);  // ends the process; ModelDisk::crash explains the mask
   void send(const Address& to, Envelope envelope) override;
-  void take(Envelope envelope);
+  void receive(Envelope envelope);
   bool alive() const { return process_ && process_->alive; }
-  bool running() const { return alive() && !process_->frozen; }
+  bool running() const { return alive() && !process_->suspended; }
 
   const MachineSetup setup;
   const Address address;
   ModelDisk disk;
   ProcessPointer process() const { return process_; }
-  std::uint64_t life() const { return life_; }
+  std::uint64_t incarnation() const { return incarnation_; }
   SharedState& shared_state() { return *shared_state_; }
-  FleetCalls* fleet_calls() { return duties_ ? duties_->fleet_calls.get() : nullptr; }
-  StoreClient* client() { return duties_ ? duties_->client.get() : nullptr; }
+  FleetCalls* fleet_calls() { return components_ ? components_->fleet_calls.get() : nullptr; }
+  StoreClient* client() { return components_ ? components_->client.get() : nullptr; }
 
  private:
-  struct Duties {
+  struct Components {
     std::map<std::string, std::unique_ptr<Messenger>> messengers;
     std::unique_ptr<Sessions> sessions;
-    std::unique_ptr<ConfigurationGossip> news;
+    std::unique_ptr<ConfigurationGossip> gossip;
     std::unique_ptr<Founding> founding;
     std::unique_ptr<ReplicatedStore> store;
     std::unique_ptr<StoreClient> client;
@@ -65,17 +68,18 @@
   std::unique_ptr<ModelTimers> timers_;
   std::unique_ptr<simulate::SeededRandom> random_;
   const AnyDocument format_;
-  std::unique_ptr<Duties> duties_;
-  std::uint64_t life_ = 0;
+  std::unique_ptr<Components> components_;
+  std::uint64_t incarnation_ = 0;
 };
 
-// What a monitor is told of the cluster.
+// Receives the events of a cluster that invariants are checked on.
 class Observer {
  public:
   virtual ~Observer() = default;
   virtual void on_request(const Machine& from, const Machine& to, const Envelope& envelope) = 0;
   virtual void on_reply(const Machine& from, const Machine& to, const Request& request, const Envelope& envelope) = 0;
-  // A reply to a call of the caller's former life, whose number the caller has used again since.
+  // A reply to a call of the client's previous incarnation, which reaches the new one. Call numbers restart with each
+  // incarnation, so the new one may have a call with the same number in progress.
   virtual void on_former_reply(const Machine& from, const Machine& to, const Request& request,
                                const Envelope& envelope) = 0;
   virtual void on_start(Machine& machine) = 0;
@@ -89,45 +93,46 @@
   const PlantedFault fault;
   std::vector<Address> seeds;
   bool first_start = false;
-  std::int64_t deviations_until = 0;  // milliseconds; the world is whole afterwards
+  std::int64_t deviations_until = 0;  // in milliseconds; messages are neither lost nor delayed afterwards
 
   std::vector<std::unique_ptr<Machine>>& machines() { return machines_; }
   Machine& machine(const std::string& name);
   Machine* at(const Address& address);
-  // Gives the machines disks as if they had founded a roster of these seats in an earlier life.
-  void found_before(const std::vector<std::string>& names);
-  void strike(const Deviation& deviation);  // plans a machine's trouble or a cut
-  void heal();                              // ends all cuts and freezes, starts what is down
+  // Prepares the machines' disks as if the named ones had been founded as voters before the run.
+  void install_initial_roster(const std::vector<std::string>& names);
+  void schedule_deviation(const Deviation& deviation);  // adds the events of a fault of a machine or of a partition
+  void end_all_faults();  // ends all partitions and suspensions, restarts machines that are down
   void transmit(Machine& from, const Address& to, Envelope envelope);
   const Schedule& schedule() const { return schedule_; }
-  // The deviations of messages that came about, named as a schedule names them.
+  // The deviations that affected messages so far, in the form of a schedule.
   const std::vector<Deviation>& applied() const { return applied_; }
   struct SentMessage {
     std::int64_t at = 0;  // milliseconds
     std::string name;
   };
-  std::vector<SentMessage>* log = nullptr;  // of all messages between machines, where one is wanted
+  std::vector<SentMessage>* log = nullptr;  // if set, receives all messages between machines
 
  private:
-  struct Passage {
+  struct Transit {
     bool lost = false;
     Duration latency{};
   };
-  Passage passage(Machine& from, Machine& to, const Envelope& envelope);
+  Transit transit_of(Machine& from, Machine& to, const Envelope& envelope);
   std::optional<Deviation> deviation_of(const std::string& name);
-  bool is_cut(const std::string& from, const std::string& to) const;
+  bool is_partitioned(const std::string& from, const std::string& to) const;
   void deliver(Machine& from, Machine& to, Envelope envelope, Duration latency);
   void restart(Machine& machine);
 
   const Schedule schedule_;
   Observer& observer_;
   std::vector<std::unique_ptr<Machine>> machines_;
-  std::unordered_map<std::string, std::uint64_t> sent_;  // messages of a name so far
-  std::unordered_map<std::string, const Deviation*> named_;
-  std::map<std::string, Request> requests_;           // that may still be answered
-  std::map<std::string, std::uint64_t> taken_lives_;  // of the callers whose requests were taken, by replier and call
+  std::unordered_map<std::string, std::uint64_t> sent_counts_;  // the number of messages sent so far, by name
+  std::unordered_map<std::string, const Deviation*> deviations_by_message_;
+  std::map<std::string, Request> requests_;  // requests that may still get a reply
+  // The incarnation of the client that sent the last received request, by call and replying machine.
+  std::map<std::string, std::uint64_t> client_incarnations_;
   std::vector<Deviation> applied_;
-  std::multiset<std::pair<std::string, std::string>> cuts_;
+  std::multiset<std::pair<std::string, std::string>> partitions_;
 };
 
 }  // namespace mothwalk::model
--- a/tests/model/disk.cpp
+++ b/tests/model/disk.cpp
@@ -1,4 +1,4 @@
-// Grouped syncs, crashes with any subset of the sync under way, and the decoded content.
+// Implements syncs of several writes at once, crashes that keep any subset of the sync in progress, and decoding.
 #include "model/disk.hpp"
 
 #include <algorithm>
@@ -25,14 +25,15 @@
       if (Stamp& stamp = slot.stamps[record.key]; stamp < record.stamp) stamp = record.stamp;
   if (entry.what == "handover") {
     slot.installed = entry.epoch;
-    std::set<StringView> named;
+    std::set<StringView> transferred_keys;
     for (const auto& each : entry.content) {
-      named.insert(each.key);
+      transferred_keys.insert(each.key);
       if (Stamp& stamp = slot.stamps[each.key]; stamp.epoch != entry.epoch)
         stamp = Stamp{entry.epoch, each.stamp.version};
     }
-    std::erase_if(slot.stamps,
-                  [&](const auto& each) { return !named.contains(each.first) && each.second.epoch != entry.epoch; });
+    std::erase_if(slot.stamps, [&](const auto& each) {
+      return !transferred_keys.contains(each.first) && each.second.epoch != entry.epoch;
+    });
   }
 }
 
@@ -54,7 +55,7 @@
   synced_file_ = ordered_;
 }
 
-void ModelDisk::put(Bytes image) {
+void ModelDisk::set_content(Bytes image) {
   synced_ = std::move(image);
   synced_file_ = DecodedFile{};
   synced_file_.apply(synced_);
@@ -103,16 +104,17 @@
 }
 
 void ModelDisk::crash(std::uint32_t mask) {
-  std::size_t hole = 0;
+  std::size_t lost_bytes = 0;
   for (std::size_t index = 0; index < syncing_.size(); ++index) {
     const DiskOrder& order = syncing_[index];
     const bool appends = order.kind == DiskOrder::Kind::append;
     if ((mask >> (index % 16) & 1) == 0) {
-      if (!appends) break;  // the steps of a rewrite and a cut are made in their order
-      hole += order.bytes.size();
+      if (!appends)
+        break;  // Only appends can be skipped: the steps of a rewrite and a truncation take effect in order.
+      lost_bytes += order.bytes.size();
       continue;
     }
-    if (appends) synced_.append(std::exchange(hole, 0), '\0');
+    if (appends) synced_.append(std::exchange(lost_bytes, 0), '\0');
     write(order);
   }
   syncing_.clear();
@@ -127,7 +129,7 @@
   if (keep_identity)
     for (const auto& entry : read_frames(synced_).entries)
       if (entry.what == "identity" || entry.what == "roster") kept += frame_entry(entry, 0);
-  put(std::move(kept));
+  set_content(std::move(kept));
 }
 
 }  // namespace mothwalk::model
--- a/tests/model/disk.hpp
+++ b/tests/model/disk.hpp
@@ -1,5 +1,6 @@
-// A disk whose syncs are events. What is not synced when the process dies is lost but for the orders that a mask names.
-// The content is also kept decoded, as ordered and as synced, so that invariants can be checked on it.
+// A simulated disk whose syncs are events of the scheduler. Writes that are not synced when the process crashes are
+// lost, except those that a mask selects. The content is also kept decoded, both as requested and as synced, so that
+// invariants can be checked on it.
 #pragma once
 #include <deque>
 
@@ -8,7 +9,8 @@
 
 namespace mothwalk::model {
 
-// What a record file says, decoded: per slot the promise, the last whole hand-over and the stamps of its records.
+// The decoded content of a record file: for each slot the promise, the epoch of the last complete transfer of records,
+// and the stamps of the records.
 struct DecodedFile {
   struct Slot {
     Epoch promised, installed;
@@ -18,7 +20,7 @@
   StorageNodeId identity;
   Roster roster;
   std::vector<Slot> slots{slot_count};
-  std::uint64_t digest = 0;  // grows with each entry; equal histories have equal ones
+  std::uint64_t digest = 0;  // a hash chained over all entries: equal for equal sequences
   void apply(const DiskEntry& entry);
   void apply(StringView bytes);
 };
@@ -30,15 +32,15 @@
   void order(DiskOrder order) override;
 
   void attach(ProcessPointer process);
-  // The process died: of the orders whose sync is under way, bit n of the mask says whether the n-th is kept. One that
-  // is lost before one that is kept leaves a hole.
+  // Ends the process. Bit n of the mask says whether write n of the sync in progress is kept. An append that is lost
+  // before one that is kept leaves zero bytes in its place.
   void crash(std::uint32_t mask);
   void wipe(bool keep_identity);
-  void put(Bytes image);  // before the first start
+  void set_content(Bytes image);  // sets the content before the first start
   const DecodedFile& ordered() const { return ordered_; }
   const DecodedFile& synced() const { return synced_file_; }
   Duration sync_time = std::chrono::microseconds(400);
-  bool acknowledges_early = false;  // a planted fault: says that bytes are safe before they are
+  bool acknowledges_early = false;  // a planted fault: writes are acknowledged before they are synced
 
  private:
   void begin();
@@ -47,7 +49,7 @@
 
   Scheduler& scheduler_;
   ProcessPointer process_;
-  Bytes synced_, next_;  // the file, and the one that is to take its place
+  Bytes synced_, next_;  // the file, and the new file that a rewrite prepares
   DecodedFile ordered_, synced_file_;
   bool busy_ = false;
   std::deque<DiskOrder> waiting_, syncing_;
--- a/tests/model/invariants.cpp
+++ b/tests/model/invariants.cpp
@@ -1,4 +1,4 @@
-// One function for each invariant.
+// Each invariant has a function of its own.
 #include "model/invariants.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 namespace mothwalk::model {
 
 namespace {
-constexpr Duration oldest_news = std::chrono::seconds(2);
-constexpr Duration surely_waiting = std::chrono::milliseconds(250);  // every call waits for longer
+constexpr Duration max_gossip_age = std::chrono::seconds(2);
+constexpr Duration min_call_timeout = std::chrono::milliseconds(250);  // each call waits at least this long
 
 std::string text_of(Stamp stamp) {
   return std::to_string(stamp.epoch.value) + "." + std::to_string(stamp.version.value);
@@ -22,8 +22,8 @@
   return stamps;
 }
 
-// Whether every majority of one roster meets every majority of the other.
-bool majorities_meet(const Roster& first, const Roster& second) {
+// Returns whether every majority of one roster has a voter in common with every majority of the other.
+bool majorities_overlap(const Roster& first, const Roster& second) {
   std::set<StorageNodeId> all;
   for (const auto& seat : first.seats) all.insert(seat.holder);
   for (const auto& seat : second.seats) all.insert(seat.holder);
@@ -38,9 +38,9 @@
 
 void Invariants::on_request(const Machine& from, const Machine&, const Envelope& envelope) {
   if (envelope.kind == Promise::kind) {
-    if (auto promise = from_cbor<Promise>(envelope.body)) on_roster(promise->roster, from);
+    if (auto promise = from_cbor<Promise>(envelope.body)) check_roster(promise->roster, from);
   } else if (envelope.kind == FoundRoster::kind) {
-    if (auto found = from_cbor<FoundRoster>(envelope.body)) on_roster(found->roster, from);
+    if (auto found = from_cbor<FoundRoster>(envelope.body)) check_roster(found->roster, from);
   } else if (envelope.kind == Store::kind) {
     if (auto store = from_cbor<Store>(envelope.body)) owner_rosters_[{from.setup.name, store->slot}] = store->roster;
   }
@@ -65,26 +65,29 @@
   }
 }
 
-// A caller that still waits takes no answer that was given to its former life.
+// A client with a call in progress must not accept a reply to a call of its previous incarnation.
 void Invariants::on_former_reply(const Machine& from, const Machine& to, const Request& request,
                                  const Envelope& envelope) {
-  if (request.to != from.address || cluster_->scheduler.now() - request.sent > surely_waiting) return;
-  fail("answer-of-former-life", to.setup.name + " waits for an answer of " + from.setup.name + " to " + request.kind +
-                                    " and gets the one to call " + std::to_string(envelope.call) +
-                                    " of its former life");
+  if (request.to != from.address || cluster_->scheduler.now() - request.sent > min_call_timeout) return;
+  fail("answer-of-former-life", to.setup.name + " waits for a reply of " + from.setup.name + " to " + request.kind +
+                                    " and gets the reply to call " + std::to_string(envelope.call) +
+                                    " of its previous incarnation");
 }
 
-// Promises never go back, neither over a restart nor for a folder that was wiped: the identity has them for ever.
+// The promised epoch of a storage node never decreases, not even after a restart. A wiped data folder gets a new
+// identity, so the promises of the old one remain valid for ever.
 void Invariants::on_promise_reply(const Promise& promise, const PromiseReply& reply, const Machine& replica) {
   if (!reply.granted || reply.epoch != promise.epoch) return;
-  const auto [place, fresh] = granted_.try_emplace({promise.target, promise.slot}, Grant{promise.epoch, promise.owner});
-  Grant& grant = place->second;
-  if (!fresh && (promise.epoch < grant.epoch || (promise.epoch == grant.epoch && promise.owner != grant.owner)))
+  const auto [entry, inserted] =
+      promises_.try_emplace({promise.target, promise.slot}, GrantedPromise{promise.epoch, promise.owner});
+  GrantedPromise& granted_promise = entry->second;
+  if (!inserted && (promise.epoch < granted_promise.epoch ||
+                    (promise.epoch == granted_promise.epoch && promise.owner != granted_promise.owner)))
     return fail("promise-went-back", replica.setup.name + " promised epoch " + std::to_string(promise.epoch.value) +
                                          " of slot " + std::to_string(promise.slot) + " to " + promise.owner.text +
-                                         " after epoch " + std::to_string(grant.epoch.value) + " to " +
-                                         grant.owner.text);
-  grant = Grant{promise.epoch, promise.owner};
+                                         " after epoch " + std::to_string(granted_promise.epoch.value) + " to " +
+                                         granted_promise.owner.text);
+  granted_promise = GrantedPromise{promise.epoch, promise.owner};
 }
 
 template <class Message>
@@ -92,17 +95,18 @@
   auto message = from_cbor<Message>(request.body);
   auto reply = from_cbor<StoreReply>(envelope.body);
   if (!message || !reply || reply->outcome != "stored") return;
-  Grant& grant = granted_[{message->target, message->slot}];
-  if (message->epoch < grant.epoch || (message->epoch == grant.epoch && message->owner != grant.owner))
-    return fail("deposed-owner-served", replica.setup.name + " took " + std::string(Message::kind) + " of slot " +
+  GrantedPromise& granted_promise = promises_[{message->target, message->slot}];
+  if (message->epoch < granted_promise.epoch ||
+      (message->epoch == granted_promise.epoch && message->owner != granted_promise.owner))
+    return fail("deposed-owner-served", replica.setup.name + " accepted " + std::string(Message::kind) + " of slot " +
                                             std::to_string(message->slot) + " under epoch " +
                                             std::to_string(message->epoch.value) + " after promising " +
-                                            std::to_string(grant.epoch.value));
+                                            std::to_string(granted_promise.epoch.value));
   if constexpr (!std::is_same_v<Message, Confirm>)
-    if (message->epoch > grant.epoch) grant = Grant{message->epoch, message->owner};
+    if (message->epoch > granted_promise.epoch) granted_promise = GrantedPromise{message->epoch, message->owner};
 }
 
-// An acknowledged write is on the disks of a majority of the owner's roster, but for disks that were wiped since.
+// An acknowledged write is on the disks of a majority of the owner's roster, not counting disks that were wiped since.
 void Invariants::on_write_reply(const Write& write, const WriteReply& reply, const Machine& owner) {
   const std::uint32_t slot = slot_of(write.key);
   acknowledged_[write.key].emplace_back(cluster_->scheduler.now(), reply.stamp);
@@ -110,42 +114,42 @@
   if (version == owner_rosters_.end()) return;
   auto roster = rosters_.find(version->second);
   if (roster == rosters_.end()) return;
-  std::size_t holding = 0;
+  std::size_t copies = 0;
   for (const auto& seat : roster->second.seats) {
     const Machine* replica = cluster_->at(seat.address);
     const DecodedFile& file = replica->disk.synced();
     auto found = file.slots[slot].stamps.find(write.key);
-    const bool forgotten = write.removed && lot_key(write.key);  // a later hand-over drops what is removed
-    holding += file.identity == seat.holder &&
-               (found == file.slots[slot].stamps.end() ? forgotten && file.slots[slot].installed > reply.stamp.epoch
-                                                       : found->second >= reply.stamp);
+    const bool may_be_dropped = write.removed && lot_key(write.key);  // a later transfer drops removed records
+    copies += file.identity == seat.holder &&
+              (found == file.slots[slot].stamps.end() ? may_be_dropped && file.slots[slot].installed > reply.stamp.epoch
+                                                      : found->second >= reply.stamp);
   }
-  if (holding + wipes_ < roster->second.majority())
+  if (copies + wipes_ < roster->second.majority())
     fail("acknowledged-before-majority", owner.setup.name + " acknowledged " + write.key + " at " +
-                                             text_of(reply.stamp) + " with " + std::to_string(holding) + " of " +
-                                             std::to_string(roster->second.seats.size()) + " disks holding it");
+                                             text_of(reply.stamp) + " with " + std::to_string(copies) + " of " +
+                                             std::to_string(roster->second.seats.size()) + " disks having it");
 }
 
-// One roster for each version, and majorities of neighbours meet.
-void Invariants::on_roster(const Roster& roster, const Machine& machine) {
+// There is one roster for each version, and every two majorities of rosters with consecutive versions overlap.
+void Invariants::check_roster(const Roster& roster, const Machine& machine) {
   if (roster.seats.empty()) return;
-  const auto [place, fresh] = rosters_.try_emplace(roster.version, roster);
-  if (!fresh && place->second.seats != roster.seats)
-    return fail("two-rosters", machine.setup.name + " has another roster of version " +
-                                   std::to_string(roster.version.value) + " than was seen before");
-  if (!fresh) return;
+  const auto [entry, inserted] = rosters_.try_emplace(roster.version, roster);
+  if (!inserted && entry->second.seats != roster.seats)
+    return fail("two-rosters", machine.setup.name + " has a different roster of version " +
+                                   std::to_string(roster.version.value) + " than an earlier one");
+  if (!inserted) return;
   for (const auto& [version, other] : rosters_)
     if ((version.value + 1 == roster.version.value || roster.version.value + 1 == version.value) &&
-        !majorities_meet(other, roster))
+        !majorities_overlap(other, roster))
       fail("rosters-apart", "majorities of rosters " + std::to_string(version.value) + " and " +
-                                std::to_string(roster.version.value) + " need not meet");
+                                std::to_string(roster.version.value) + " need not overlap");
 }
 
 void Invariants::on_start(Machine& machine) {
-  Seen& seen = seen_[machine.setup.name];
-  for (const auto& [key, stamp] : seen.stamps)
-    news_[key][machine.setup.name].emplace_back(cluster_->scheduler.now(), Stamp{});
-  seen = Seen{};
+  Snapshot& snapshot = snapshots_[machine.setup.name];
+  for (const auto& [key, stamp] : snapshot.stamps)
+    gossip_stamps_[key][machine.setup.name].emplace_back(cluster_->scheduler.now(), Stamp{});
+  snapshot = Snapshot{};
 }
 
 void Invariants::on_wipe(Machine&) {
@@ -154,119 +158,119 @@
 
 void Invariants::check(Machine& machine) {
   if (violation_ || !machine.running()) return;
-  Seen& seen = seen_[machine.setup.name];
-  check_owned(machine, seen);
-  check_configuration(machine, seen);
-  check_lease(machine, seen);
+  Snapshot& snapshot = snapshots_[machine.setup.name];
+  check_owned(machine, snapshot);
+  check_configuration(machine, snapshot);
+  check_lease(machine, snapshot);
   count_state(machine);
 }
 
-// One owner for each slot and epoch.
-void Invariants::check_owned(Machine& machine, Seen& seen) {
+// A slot has at most one owner per epoch.
+void Invariants::check_owned(Machine& machine, Snapshot& snapshot) {
   auto owned = machine.shared_state().owned.get();
-  if (owned == seen.owned) return;
-  seen.owned = owned;
-  const StorageNodeId& holder = machine.disk.ordered().identity;
+  if (owned == snapshot.owned) return;
+  snapshot.owned = owned;
+  const StorageNodeId& storage_node = machine.disk.ordered().identity;
   std::uint64_t hash = 0;
   for (const auto& [slot, epoch] : owned->slots) {
     hash = hash * 1000003 + slot * 7919 + epoch.value;
-    const auto [place, fresh] = owners_.try_emplace({slot, epoch}, holder);
-    if (!fresh && place->second != holder)
+    const auto [entry, inserted] = owners_.try_emplace({slot, epoch}, storage_node);
+    if (!inserted && entry->second != storage_node)
       fail("two-owners", machine.setup.name + " owns slot " + std::to_string(slot) + " under epoch " +
-                             std::to_string(epoch.value) + ", as " + place->second.text + " did");
+                             std::to_string(epoch.value) + ", which " + entry->second.text + " owned before");
   }
-  seen.owned_hash = hash;
+  snapshot.owned_hash = hash;
 }
 
-// No daemon applies a lower stamp for a key.
-void Invariants::check_configuration(Machine& machine, Seen& seen) {
+// A daemon never replaces a record by one with a lower stamp.
+void Invariants::check_configuration(Machine& machine, Snapshot& snapshot) {
   auto configuration = machine.shared_state().configuration.get();
-  if (configuration == seen.configuration) return;
-  seen.configuration = configuration;
+  if (configuration == snapshot.configuration) return;
+  snapshot.configuration = configuration;
   const auto stamps = stamps_of(*configuration);
   std::uint64_t hash = configuration->roster.version.value;
   for (const auto& [key, stamp] : stamps) {
     hash = hash_of(key, hash + stamp.epoch.value * 1000003 + stamp.version.value);
-    if (stamp < seen.stamps[key])
-      fail("news-went-back",
-           machine.setup.name + " applied " + key + " at " + text_of(stamp) + " after " + text_of(seen.stamps[key]));
-    if (stamp == seen.stamps[key]) continue;
-    seen.stamps[key] = stamp;
-    news_[key][machine.setup.name].emplace_back(cluster_->scheduler.now(), stamp);
+    if (stamp < snapshot.stamps[key])
+      fail("news-went-back", machine.setup.name + " applied " + key + " at " + text_of(stamp) + " after " +
+                                 text_of(snapshot.stamps[key]));
+    if (stamp == snapshot.stamps[key]) continue;
+    snapshot.stamps[key] = stamp;
+    gossip_stamps_[key][machine.setup.name].emplace_back(cluster_->scheduler.now(), stamp);
   }
-  seen.configuration_hash = hash;
-  on_roster(configuration->roster, machine);
+  snapshot.configuration_hash = hash;
+  check_roster(configuration->roster, machine);
   const Version version = configuration->roster.version;
   if (version.value > 0 && (newest_rosters_.empty() || newest_rosters_.back().second < version))
     newest_rosters_.emplace_back(cluster_->scheduler.now(), version);
 }
 
-// The newest stamp that the news of a majority of the roster's seats had at that time.
-Stamp Invariants::of_majority(const std::string& key, const Roster& roster, TimePoint when) const {
-  auto of_key = news_.find(key);
-  if (of_key == news_.end()) return {};
+// Returns the newest stamp that a majority of the roster's voters had received by gossip at the given time.
+Stamp Invariants::newest_of_majority(const std::string& key, const Roster& roster, TimePoint time) const {
+  auto of_key = gossip_stamps_.find(key);
+  if (of_key == gossip_stamps_.end()) return {};
   std::vector<Stamp> stamps;
   for (const auto& seat : roster.seats) {
     Stamp stamp;
     if (auto times = of_key->second.find(cluster_->at(seat.address)->setup.name); times != of_key->second.end())
       for (const auto& [since, value] : times->second)
-        if (since <= when) stamp = value;
+        if (since <= time) stamp = value;
     stamps.push_back(stamp);
   }
   std::sort(stamps.rbegin(), stamps.rend());
   return stamps[roster.majority() - 1];
 }
 
-// A lease is only held with news that is not older than what a majority had two seconds ago.
-void Invariants::check_lease(Machine& machine, const Seen& seen) {
+// A daemon with a lease has a configuration at least as new as what a majority had two seconds ago.
+void Invariants::check_lease(Machine& machine, const Snapshot& snapshot) {
   const TimePoint now = cluster_->scheduler.now();
   if (!machine.shared_state().has_lease(now)) return;
-  const TimePoint then = now + -oldest_news;
+  const TimePoint limit = now + -max_gossip_age;
   Version version;
   for (const auto& [since, each] : newest_rosters_)
-    if (since <= then) version = each;
+    if (since <= limit) version = each;
   auto roster = rosters_.find(version);
   if (roster == rosters_.end()) return;
-  for (const auto& [key, machines] : news_) {
-    const Stamp wanted = of_majority(key, roster->second, then);
-    auto mine = seen.stamps.find(key);
-    const Stamp have = mine == seen.stamps.end() ? Stamp{} : mine->second;
-    if (have < wanted)
-      fail("stale-lease", machine.setup.name + " holds a lease with " + key + " at " + text_of(have) +
-                              "; a majority had " + text_of(wanted) + " two seconds before");
+  for (const auto& [key, machines] : gossip_stamps_) {
+    const Stamp required = newest_of_majority(key, roster->second, limit);
+    auto own = snapshot.stamps.find(key);
+    const Stamp current = own == snapshot.stamps.end() ? Stamp{} : own->second;
+    if (current < required)
+      fail("stale-lease", machine.setup.name + " holds a lease with " + key + " at " + text_of(current) +
+                              "; a majority had " + text_of(required) + " two seconds before");
   }
   for (const auto& [key, times] : acknowledged_) {
     if (lot_key(key)) continue;
-    auto mine = seen.stamps.find(key);
-    const Stamp have = mine == seen.stamps.end() ? Stamp{} : mine->second;
-    for (const auto& [when, stamp] : times)
-      if (when <= then && have < stamp)
+    auto own = snapshot.stamps.find(key);
+    const Stamp current = own == snapshot.stamps.end() ? Stamp{} : own->second;
+    for (const auto& [time, stamp] : times)
+      if (time <= limit && current < stamp)
         return fail("stale-after-acknowledgement", machine.setup.name + " holds a lease with " + key + " at " +
-                                                       text_of(have) + "; " + text_of(stamp) +
+                                                       text_of(current) + "; " + text_of(stamp) +
                                                        " was acknowledged more than two seconds before");
   }
 }
 
 void Invariants::count_state(Machine& machine) {
-  const Seen& seen = seen_[machine.setup.name];
+  const Snapshot& snapshot = snapshots_[machine.setup.name];
   const DecodedFile& file = machine.disk.ordered();
   auto members = machine.shared_state().members.get();
-  if (members != seen.members) {
-    Seen& place = seen_[machine.setup.name];
-    place.members = members;
-    place.members_hash = hash_of(members->session_server.text);
+  if (members != snapshot.members) {
+    Snapshot& entry = snapshots_[machine.setup.name];
+    entry.members = members;
+    entry.members_hash = hash_of(members->session_server.text);
     for (const auto& [address, member] : members->all)
-      place.members_hash = hash_of(address.text, place.members_hash + member.stalled + member.roster.value * 2);
+      entry.members_hash = hash_of(address.text, entry.members_hash + member.stalled + member.roster.value * 2);
   }
   std::uint64_t hash = hash_of(machine.setup.name, file.digest);
   for (const std::uint64_t part :
-       {machine.disk.synced().digest, seen.owned_hash, seen.configuration_hash, seen.members_hash,
+       {machine.disk.synced().digest, snapshot.owned_hash, snapshot.configuration_hash, snapshot.members_hash,
         static_cast<std::uint64_t>(machine.shared_state().has_lease(cluster_->scheduler.now()))})
     hash = (hash ^ part) * 0x9E3779B97F4A7C15ULL + (hash >> 29);
-  std::uint64_t& place = machine_hashes_[machine.setup.name];
-  state_ ^= place ^ hash;
-  place = hash;
-  states_.insert(state_);
+  std::uint64_t& entry = machine_hashes_[machine.setup.name];
+  cluster_hash_ ^= entry ^ hash;
+  entry = hash;
+  state_hashes_.insert(cluster_hash_);
 }
 
 }  // namespace mothwalk::model
--- a/tests/model/invariants.hpp
+++ b/tests/model/invariants.hpp
@@ -1,5 +1,5 @@
-// The invariants of the control state, checked on every message, on the disks, and on what each daemon holds after each
-// step. The first violation of a run is kept.
+// The invariants of the control state. They are checked on every message, on the disks, and on each daemon's shared
+// state after each of its steps. Only the first violation of a run is kept.
 #pragma once
 #include <unordered_set>
 
@@ -8,10 +8,11 @@
 namespace mothwalk::model {
 
 struct Violation {
-  std::string invariant;  // a short name: shrinking keeps to the same one
+  std::string invariant;  // the invariant's name; shrinking looks for a violation of the same one
   std::string text;
 };
 
+// Observes a cluster and records the first violation.
 class Invariants : public Observer {
  public:
   void watch(Cluster& cluster) { cluster_ = &cluster; }
@@ -21,50 +22,53 @@
                        const Envelope& envelope) override;
   void on_start(Machine& machine) override;
   void on_wipe(Machine& machine) override;
-  // After an event of the machine.
+  // Checks a machine; to be called after each event of it.
   void check(Machine& machine);
   void fail(const std::string& invariant, const std::string& text);
   const std::optional<Violation>& violation() const { return violation_; }
-  const std::unordered_set<std::uint64_t>& states() const { return states_; }
+  const std::unordered_set<std::uint64_t>& states() const { return state_hashes_; }
 
  private:
-  struct Grant {
+  struct GrantedPromise {
     Epoch epoch;
     StorageNodeId owner;
   };
-  struct Seen {  // what a machine showed when it was last looked at
+  struct Snapshot {  // a machine's shared state at the last check
     std::shared_ptr<const Ownership> owned;
     std::shared_ptr<const ConfigurationView> configuration;
     std::shared_ptr<const Members> members;
     std::uint64_t owned_hash = 0, configuration_hash = 0, members_hash = 0;
     std::map<std::string, Stamp> stamps;
   };
-  using Times = std::vector<std::pair<TimePoint, Stamp>>;
+  using StampHistory = std::vector<std::pair<TimePoint, Stamp>>;  // each stamp with the time from which it applies
   void on_promise_reply(const Promise& promise, const PromiseReply& reply, const Machine& replica);
   template <class Message>
   void on_store_reply(const Request& request, const Envelope& envelope, const Machine& replica);
   void on_write_reply(const Write& write, const WriteReply& reply, const Machine& owner);
-  void on_roster(const Roster& roster, const Machine& machine);
-  void check_owned(Machine& machine, Seen& seen);
-  void check_configuration(Machine& machine, Seen& seen);
-  void check_lease(Machine& machine, const Seen& seen);
-  Stamp of_majority(const std::string& key, const Roster& roster, TimePoint when) const;
+  void check_roster(const Roster& roster, const Machine& machine);
+  void check_owned(Machine& machine, Snapshot& snapshot);
+  void check_configuration(Machine& machine, Snapshot& snapshot);
+  void check_lease(Machine& machine, const Snapshot& snapshot);
+  Stamp newest_of_majority(const std::string& key, const Roster& roster, TimePoint time) const;
   void count_state(Machine& machine);
 
   Cluster* cluster_ = nullptr;
   std::optional<Violation> violation_;
-  std::map<std::pair<StorageNodeId, std::uint32_t>, Grant> granted_;
-  std::map<std::pair<std::uint32_t, Epoch>, StorageNodeId> owners_;
+  std::map<std::pair<StorageNodeId, std::uint32_t>, GrantedPromise> promises_;  // by storage node and slot
+  std::map<std::pair<std::uint32_t, Epoch>, StorageNodeId> owners_;             // by slot and epoch
   std::map<Version, Roster> rosters_;
-  std::map<std::pair<std::string, std::uint32_t>, Version> owner_rosters_;  // by machine and slot: of its last Store
-  std::map<std::string, Seen> seen_;
-  std::map<std::string, Times> acknowledged_;                 // by key
-  std::map<std::string, std::map<std::string, Times>> news_;  // by key and machine
+  // The roster version of the last Store message, by machine and slot.
+  std::map<std::pair<std::string, std::uint32_t>, Version> owner_rosters_;
+  std::map<std::string, Snapshot> snapshots_;
+  // The stamps of acknowledged writes, by key.
+  std::map<std::string, StampHistory> acknowledged_;
+  // The stamps received by gossip, by key and machine.
+  std::map<std::string, std::map<std::string, StampHistory>> gossip_stamps_;
   std::map<std::string, std::uint64_t> machine_hashes_;
   std::vector<std::pair<TimePoint, Version>> newest_rosters_;
-  std::uint64_t state_ = 0;
+  std::uint64_t cluster_hash_ = 0;
   std::size_t wipes_ = 0;
-  std::unordered_set<std::uint64_t> states_;
+  std::unordered_set<std::uint64_t> state_hashes_;
 };
 
 }  // namespace mothwalk::model
--- a/tests/model/main.cpp
+++ b/tests/model/main.cpp
@@ -1,8 +1,9 @@
-// model-check: explores the control state's duties over orders of delivery, losses, crashes, wipes and freezes.
-//   model-check [--shape NAME] [--seed N] [--runs K] [--exhaustive K] [--fault NAME] [--expect-found]
+// model-check: explores how the components for control state behave under different message orders, message losses,
+// crashes, wiped disks and process suspensions.
+//   model-check [--shape NAME] [--seed N] [--runs K] [--exhaustive K] [--fault NAME]
 //   model-check --replay "SCHEDULE" [--fault NAME]
-//   model-check --faults [--seed N] [--runs K] [--unshrunk]    each planted fault has to be found on its shape
-//   model-check --regressions FILE    schedules that once failed, one a line, must pass
+//   model-check --faults [--seed N] [--runs K] [--unshrunk]    fails unless each planted fault is found on its shape
+//   model-check --regressions FILE    fails unless each schedule of the file passes; the file has one per line
 //   model-check --list
 #include <chrono>
 #include <fstream>
@@ -18,19 +19,19 @@
 struct Options {
   std::string shape = "all", replay, regressions, fault = "none";
   std::uint64_t seed = 1, runs = 20, exhaustive = 0;
-  bool faults = false, unshrunk = false, list = false, bad = false;
+  bool faults = false, unshrunk = false, list = false, invalid = false;
 };
 
 bool set_option(Options& options, const std::string& name, const std::string& value) {
-  const std::map<std::string, std::string*> texts = {{"--shape", &options.shape},
-                                                     {"--replay", &options.replay},
-                                                     {"--regressions", &options.regressions},
-                                                     {"--fault", &options.fault}};
-  const std::map<std::string, std::uint64_t*> numbers = {
+  const std::map<std::string, std::string*> text_options = {{"--shape", &options.shape},
+                                                            {"--replay", &options.replay},
+                                                            {"--regressions", &options.regressions},
+                                                            {"--fault", &options.fault}};
+  const std::map<std::string, std::uint64_t*> number_options = {
       {"--seed", &options.seed}, {"--runs", &options.runs}, {"--exhaustive", &options.exhaustive}};
-  if (auto text = texts.find(name); text != texts.end()) {
+  if (auto text = text_options.find(name); text != text_options.end()) {
     *text->second = value;
-  } else if (auto number = numbers.find(name); number != numbers.end()) {
+  } else if (auto number = number_options.find(name); number != number_options.end()) {
     *number->second = std::stoull(value);
   } else {
     return false;
@@ -38,9 +39,9 @@
   return true;
 }
 
-Options read_options(int count, char** arguments) {
+Options read_options(int argument_count, char** arguments) {
   Options options;
-  for (int index = 1; index < count; ++index) {
+  for (int index = 1; index < argument_count; ++index) {
     const std::string name = arguments[index];
     if (name == "--faults") {
       options.faults = true;
@@ -48,11 +49,11 @@
       options.unshrunk = true;
     } else if (name == "--list") {
       options.list = true;
-    } else if (index + 1 == count) {
-      options.bad = true;
+    } else if (index + 1 == argument_count) {
+      options.invalid = true;
     } else {
       const std::string value = arguments[++index];
-      options.bad = !set_option(options, name, value) || options.bad;
+      options.invalid = !set_option(options, name, value) || options.invalid;
     }
   }
   return options;
@@ -74,7 +75,7 @@
 int replay(const Options& options, PlantedFault fault) {
   const auto schedule = read_schedule(options.replay);
   if (!schedule || shape_named(schedule->shape) == nullptr) {
-    std::cerr << "the schedule can't be read\n";
+    std::cerr << "the schedule is malformed or names an unknown shape\n";
     return 2;
   }
   Failure failure{1, *schedule, run_schedule(*schedule, fault)};
@@ -90,13 +91,13 @@
 int replay_regressions(const std::string& path) {
   std::ifstream file(path);
   std::string line;
-  int failures = 0, count = 0;
+  int failures = 0, schedule_count = 0;
   while (std::getline(file, line)) {
     if (line.empty() || line.front() == '#') continue;
-    ++count;
+    ++schedule_count;
     const auto schedule = read_schedule(line);
     if (!schedule || shape_named(schedule->shape) == nullptr) {
-      std::cerr << "the schedule can't be read: " << line << "\n";
+      std::cerr << "the schedule is malformed or names an unknown shape: " << line << "\n";
       return 2;
     }
     Failure failure{1, *schedule, run_schedule(*schedule, PlantedFault::none)};
@@ -104,15 +105,15 @@
     ++failures;
     print(failure);
   }
-  std::cout << count << " schedules, " << failures << " failed\n";
-  return count > 0 && failures == 0 ? 0 : 1;
+  std::cout << schedule_count << " schedules, " << failures << " failed\n";
+  return schedule_count > 0 && failures == 0 ? 0 : 1;
 }
 
-// Whether the fault is found on the shape that brings it about.
-bool find(const FaultPlan& plan, const Options& options) {
+// Searches for the fault on its shape; returns whether it was found.
+bool search_for_fault(const FaultPlan& plan, const Options& options) {
   const Shape* shape = shape_named(std::string(plan.shape));
   Totals totals;
-  auto failure = random_walks(*shape, plan.fault, options.seed, options.runs, totals);
+  auto failure = run_random_schedules(*shape, plan.fault, options.seed, options.runs, totals);
   if (!failure) {
     std::cout << plan.name << ": not found on " << shape->name << " in " << totals.runs << " runs\n";
     return false;
@@ -125,43 +126,43 @@
   return true;
 }
 
-int find_all(const Options& options) {
+int search_for_all_faults(const Options& options) {
   bool all = true;
   for (const auto& plan : planted_faults)
-    if (plan.fault != PlantedFault::none) all = find(plan, options) && all;
+    if (plan.fault != PlantedFault::none) all = search_for_fault(plan, options) && all;
   return all ? 0 : 1;
 }
 
 int explore(const Options& options, PlantedFault fault) {
-  const auto began = std::chrono::steady_clock::now();
-  Totals whole;
+  const auto started_at = std::chrono::steady_clock::now();
+  Totals sum;
   int failures = 0;
   for (const auto& shape : shapes()) {
     if (options.shape != "all" && options.shape != shape.name) continue;
     Totals totals;
-    auto failure = random_walks(shape, fault, options.seed, options.runs, totals);
-    if (!failure && options.exhaustive > 0) failure = exhaustive(shape, fault, options.exhaustive, totals);
+    auto failure = run_random_schedules(shape, fault, options.seed, options.runs, totals);
+    if (!failure && options.exhaustive > 0) failure = run_exhaustive_search(shape, fault, options.exhaustive, totals);
     std::cout << shape.name << ": " << totals.runs << " runs, " << totals.steps << " steps, " << totals.states.size()
               << " states" << (failure ? ", FAILED" : "") << std::endl;
-    whole.runs += totals.runs;
-    whole.steps += totals.steps;
-    whole.states.merge(totals.states);
+    sum.runs += totals.runs;
+    sum.steps += totals.steps;
+    sum.states.merge(totals.states);
     if (!failure) continue;
     ++failures;
     print(shrink(*failure, fault));
   }
-  const auto took = std::chrono::steady_clock::now() - began;
-  std::cout << whole.runs << " runs, " << whole.steps << " steps, " << whole.states.size() << " distinct states, "
-            << std::chrono::duration_cast<std::chrono::seconds>(took).count() << " s, " << failures << " failed\n";
+  const auto duration = std::chrono::steady_clock::now() - started_at;
+  std::cout << sum.runs << " runs, " << sum.steps << " steps, " << sum.states.size() << " distinct states, "
+            << std::chrono::duration_cast<std::chrono::seconds>(duration).count() << " s, " << failures << " failed\n";
   return failures == 0 ? 0 : 1;
 }
 
 }  // namespace
 
-int main(int count, char** arguments) {
-  const Options options = read_options(count, arguments);
+int main(int argument_count, char** arguments) {
+  const Options options = read_options(argument_count, arguments);
   const auto fault = fault_named(options.fault);
-  if (options.bad || !fault) {
+  if (options.invalid || !fault) {
     std::cerr << "usage: model-check [--shape NAME] [--seed N] [--runs K] [--exhaustive K] [--fault NAME]\n"
                  "       model-check --replay \"SCHEDULE\" [--fault NAME] | --faults [--unshrunk] | --regressions FILE "
                  "| --list\n";
@@ -173,5 +174,5 @@
   }
   if (!options.regressions.empty()) return replay_regressions(options.regressions);
   if (!options.replay.empty()) return replay(options, *fault);
-  return options.faults ? find_all(options) : explore(options, *fault);
+  return options.faults ? search_for_all_faults(options) : explore(options, *fault);
 }
--- a/tests/model/schedule.cpp
+++ b/tests/model/schedule.cpp
@@ -1,4 +1,4 @@
-// The text form of schedules: the shape and the latency seed, then one deviation after another, separated by ";".
+// The text form of schedules: shape, latency seed, and loss and delay rates, then the deviations, separated by ";".
 #include "model/schedule.hpp"
 
 #include <array>
