--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -129,6 +129,7 @@
   std::unordered_map<std::string, std::uint64_t> sent_counts_;  // the number of messages sent so far, by name
   std::unordered_map<std::string, const Deviation*> deviations_by_message_;
   std::map<std::string, Request> requests_;  // requests that may still get a reply
+
   // The incarnation of the client that sent the last received request, by call and replying machine.
   std::map<std::string, std::uint64_t> client_incarnations_;
   std::vector<Deviation> applied_;
--- a/tests/model/operators.cpp
+++ b/tests/model/operators.cpp
@@ -13,6 +13,7 @@
 constexpr Duration read_limit = milliseconds(1000);      // given to the daemon for other operations
 constexpr Duration client_timeout = milliseconds(2500);  // until the operator stops waiting for the daemon
 constexpr int max_sends = 4;                             // of one configuration change
+
 // The pause between operations in milliseconds: a minimum and a random part below pause_range.
 constexpr std::int64_t min_pause = 60, pause_range = 500;
 
--- a/tests/model/shapes.cpp
+++ b/tests/model/shapes.cpp
@@ -48,7 +48,8 @@
   std::vector<Shape> all;
   all.push_back(base_shape("steady", "three voters, two operators", false));
 
-  Shape takeover = base_shape("hand-over", "an owner crashes and returns while two operators change", false);
+  Shape takeover =
+      base_shape("hand-over", "an owner crashes and restarts while two operators change the configuration", false);
   takeover.deviations = {{DeviationKind::crash, "b", 2200, 1500, 1}};
   takeover.exhaustive_from = 2400;
   all.push_back(std::move(takeover));
@@ -106,7 +107,7 @@
   const auto window = static_cast<std::size_t>(shape.deviations_until - shape.deviations_from);
   deviation.at = shape.deviations_from + static_cast<std::int64_t>(random.below(window));
   deviation.length = 100 + static_cast<std::int64_t>(random.below(random.below(3) == 0 ? 4000 : 1200));
-  deviation.mask = (1u << random.below(8)) - 1;  // this many writes of the sync in progress reach the disk
+  deviation.mask = (1u << random.below(8)) - 1;  // The first writes of the sync in progress, up to 7, reach the disk.
   const std::size_t draw = random.below(may_wipe ? 11 : 10);
   deviation.kind = draw < 4    ? DeviationKind::crash
                    : draw < 6  ? DeviationKind::suspend
--- a/tests/model/shapes.hpp
+++ b/tests/model/shapes.hpp
@@ -13,6 +13,7 @@
   std::vector<std::string> seeds;
   std::vector<OperatorPlan> operators;
   std::vector<Deviation> deviations;  // part of each generated schedule
+
   // In milliseconds of virtual time: random deviations begin between the first two times, and all faults end at the
   // third.
   std::int64_t deviations_from = 1000, deviations_until = 6500, faults_end_at = 7000;
--- a/tests/platform_operator_history.cpp
+++ b/tests/platform_operator_history.cpp
@@ -57,11 +57,11 @@
 
   // Calls a random machine. If no response comes in time, the callback gets status 0 and the machine drops the request.
   void send_request(const OperatorRequest& request, ResponseCallback callback) {
-    auto is_over = std::make_shared<bool>(false);
-    auto finish = [is_over, callback](OperatorResponse response) {
-      if (!std::exchange(*is_over, true)) callback(std::move(response));
+    auto finished = std::make_shared<bool>(false);
+    auto finish = [finished, callback](OperatorResponse response) {
+      if (!std::exchange(*finished, true)) callback(std::move(response));
     };
-    apis_.send(random_serving_machine(), request, finish, is_over);
+    apis_.send(random_serving_machine(), request, finish, finished);
     world_.after(response_timeout, [finish] { finish({}); });
   }
 
@@ -208,6 +208,7 @@
     });
   }
 
+  // Picks a machine that owns the slot of the configuration or of zone-0, so that a fault hits calls in progress.
   Machine* random_owner() {
     for (const StringView key : {configuration_key, StringView("zone/zone-0")})
       for (Machine* storage_node : cluster_.holders())
