--- a/source/interfaces/disk.hpp
+++ b/source/interfaces/disk.hpp
@@ -1,5 +1,6 @@
-// Disk: the one append-only file of a holder, and the next file that takes its place. Orders are executed in the order
-// given, and each calls back once with whether its bytes are safe.
+// The disk of a storage node: one append-only file, and the next file that replaces it when the records are rewritten.
+// Requests are executed in the order in which they are submitted. Each calls `done` once, with whether it succeeded and
+// its bytes are durable.
 #pragma once
 #include <functional>
 
@@ -7,14 +8,15 @@
 
 namespace mothwalk {
 
+// A request to the disk.
 struct DiskOrder {
   enum class Kind {
-    append,          // to the file, then sync it
-    cut,             // the file to `size` bytes
-    begin_next,      // a next file, empty, in place of any unfinished one
-    write_next,      // append to the next file, then sync it
-    switch_to_next,  // put the next file in the place of the file, and sync the folder
-    drop_next,       // the next file is of no use any more
+    append,          // Appends `bytes` to the file and syncs it.
+    cut,             // Truncates the file to `size` bytes.
+    begin_next,      // Creates an empty next file and discards an unfinished one.
+    write_next,      // Appends `bytes` to the next file and syncs it.
+    switch_to_next,  // Replaces the file by the next file and syncs the folder.
+    drop_next,       // Discards the next file.
   };
   Kind kind = Kind::append;
   Bytes bytes;
@@ -23,27 +25,32 @@
   };
 };
 
-// After a failed append or cut, each later one fails too, until a switch has succeeded: what the file then has is not
-// known.
+// Executes disk requests. After a failed append or truncation the content of the file is not known, so every later
+// append or truncation fails too, until a switch to a next file has succeeded.
 class Disk {
  public:
   virtual ~Disk() = default;
+  // Returns the content of the file.
   virtual Result<Bytes> read_all() = 0;
   virtual void order(DiskOrder order) = 0;
 };
 
-// The files of one data folder, as an operating system gives them. Each call says whether it succeeded. Until it is
-// synced, any part of what was written may be lost with the power, and a name that was made, changed or removed lasts
-// only once the folder is synced.
+// The files of one data folder, with the guarantees of a POSIX file system. Each call returns whether it succeeded. A
+// power failure may lose any part of the data that was written and not synced, and any creation, renaming or removal of
+// a file after which the folder was not synced.
 class Volume {
  public:
   virtual ~Volume() = default;
   virtual bool exists(const std::string& file) const = 0;
-  virtual bool open(const std::string& file) = 0;  // makes it where there is none
+  // Opens the file, and creates it if it does not exist.
+  virtual bool open(const std::string& file) = 0;
   virtual Result<Bytes> read(const std::string& file) = 0;
-  virtual bool create(const std::string& file) = 0;  // a new empty file, also where there is one of the name
+  // Creates an empty file. A file that already has this name is removed first.
+  virtual bool create(const std::string& file) = 0;
   virtual bool remove(const std::string& file) = 0;
-  virtual bool write(const std::string& file, StringView bytes) = 0;  // at the end
+  // Appends the bytes to the file.
+  virtual bool write(const std::string& file, StringView bytes) = 0;
+  // Truncates the file to `size` bytes.
   virtual bool cut(const std::string& file, std::size_t size) = 0;
   virtual bool sync(const std::string& file) = 0;
   virtual bool rename(const std::string& from, const std::string& to) = 0;
