--- a/source/coding/cbor.hpp
+++ b/source/coding/cbor.hpp
@@ -1,5 +1,5 @@
-// Records to CBOR and back, over libcbor. Maps with text keys are used so that a daemon of another version can skip
-// fields that it does not know and keep the defaults of those that it does not get.
+// Writes records as CBOR and reads them, with libcbor. Records are maps with text keys, so that a daemon of another
+// version skips fields that it does not know and uses the defaults for fields that it does not receive.
 #pragma once
 #include <cbor.h>
 
@@ -7,6 +7,7 @@
 
 namespace mothwalk {
 
+// Appends values to `out` in CBOR.
 class CborWriter {
  public:
   explicit CborWriter(Bytes& out) : out_(out) {}
@@ -57,33 +58,35 @@
   }
 
  private:
-  template <class Encode, class... Given>
-  void head(Encode encode, Given... given) {
-    unsigned char space[16];
-    out_.append(reinterpret_cast<char*>(space), encode(given..., space, sizeof space));
+  template <class Encode, class... Arguments>
+  void head(Encode encode, Arguments... arguments) {
+    unsigned char buffer[16];
+    out_.append(reinterpret_cast<char*>(buffer), encode(arguments..., buffer, sizeof buffer));
   }
   Bytes& out_;
 };
 
+// Reads one value from CBOR.
 class CborReader {
  public:
+  // Returns false if the input is not the encoding of exactly one value of this type.
   template <class T>
   static bool read(StringView bytes, T& value) {
-    if (!claims_fit_input(bytes)) return false;
+    if (!lengths_fit_input(bytes)) return false;
     cbor_load_result outcome;
     cbor_item_t* item = cbor_load(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), &outcome);
     if (item == nullptr) return false;
-    bool good = outcome.read == bytes.size() && decode(item, value);
+    bool valid = outcome.read == bytes.size() && decode(item, value);
     cbor_decref(&item);
-    return good;
+    return valid;
   }
 
  private:
-  // libcbor makes room for as many members as a head claims: all heads together may not claim more than there are
-  // bytes.
-  static bool claims_fit_input(StringView bytes);
+  // Whether the lengths and member counts that the encoded items state fit into the input. libcbor allocates memory for
+  // as many members as an item states, so the counts of all items together must not exceed the number of input bytes.
+  static bool lengths_fit_input(StringView bytes);
   static bool decode_text(const cbor_item_t* item, StringView& out);
-  static bool decode_integer(const cbor_item_t* item, std::int64_t& out, std::uint64_t& plain);
+  static bool decode_integer(const cbor_item_t* item, std::int64_t& out, std::uint64_t& magnitude);
   template <class T>
   static bool decode(cbor_item_t* item, T& value) {
     if constexpr (std::is_same_v<T, bool>) {
@@ -105,10 +108,10 @@
       value.assign(view);
       return true;
     } else if constexpr (std::is_integral_v<T>) {
-      std::int64_t with_sign = 0;
-      std::uint64_t plain = 0;
-      if (!decode_integer(item, with_sign, plain)) return false;
-      value = std::is_signed_v<T> ? static_cast<T>(with_sign) : static_cast<T>(plain);
+      std::int64_t signed_value = 0;
+      std::uint64_t magnitude = 0;
+      if (!decode_integer(item, signed_value, magnitude)) return false;
+      value = std::is_signed_v<T> ? static_cast<T>(signed_value) : static_cast<T>(magnitude);
       return true;
     } else if constexpr (is_strong_string<T>::value) {
       return decode(item, value.text);
@@ -137,21 +140,22 @@
       return true;
     } else {
       if (!cbor_isa_map(item)) return false;
-      bool good = true;
+      bool valid = true;
       value.fields([&](StringView name, auto& field) {
-        for (std::size_t index = 0; good && index < cbor_map_size(item); ++index) {
+        for (std::size_t index = 0; valid && index < cbor_map_size(item); ++index) {
           StringView key;
           if (decode_text(cbor_map_handle(item)[index].key, key) && (key == name || key == former_name(name))) {
-            good = decode(cbor_map_handle(item)[index].value, field);
+            valid = decode(cbor_map_handle(item)[index].value, field);
             return;
           }
         }
       });
-      return good;
+      return valid;
     }
   }
 };
 
+// Returns the CBOR encoding of a value.
 template <class T>
 Bytes to_cbor(const T& value) {
   Bytes out;
@@ -159,6 +163,7 @@
   return out;
 }
 
+// Returns the value, or nothing if the bytes are not its complete encoding.
 template <class T>
 std::optional<T> from_cbor(StringView bytes) {
   T value;
--- a/source/coding/dialect.cpp
+++ b/source/coding/dialect.cpp
@@ -1,4 +1,4 @@
-// The plain dialect and what all dialects need to look headers up.
+// The plain dialect, and the lookup of headers that all dialects use.
 #include "interfaces/dialect.hpp"
 
 #include <algorithm>
@@ -25,21 +25,21 @@
 }
 
 RequestInfo PlainDialect::read_request(const std::vector<Header>& headers) const {
-  RequestInfo facts;
+  RequestInfo request;
   if (const auto* host = header_of(headers, "Host")) {
-    facts.host = host->substr(0, host->find(':'));
-    std::transform(facts.host.begin(), facts.host.end(), facts.host.begin(),
+    request.host = host->substr(0, host->find(':'));
+    std::transform(request.host.begin(), request.host.end(), request.host.begin(),
                    [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
   }
-  return facts;
+  return request;
 }
 
 void PlainDialect::write_attempt(AttemptRequest&, const RequestInfo&, const AttemptInfo&) const {}
 
 ResponseInfo PlainDialect::read_answer(int, const std::vector<Header>& headers, const RequestInfo&) const {
-  ResponseInfo answer;
-  if (const auto* connection = header_of(headers, "Connection")) answer.closing = same_name(*connection, "close");
-  return answer;
+  ResponseInfo response;
+  if (const auto* connection = header_of(headers, "Connection")) response.closing = same_name(*connection, "close");
+  return response;
 }
 
 std::string PlainDialect::retry_after(Duration span) const {
--- a/source/coding/digest.cpp
+++ b/source/coding/digest.cpp
@@ -1,4 +1,5 @@
-// Digests by Boost's name-based UUIDs, which are header-only and part of the Boost headers that are used anyway.
+// Computes digests with Boost's name-based UUIDs, which are header-only and come with the Boost headers that the
+// project already uses.
 #include "coding/digest.hpp"
 
 #include <boost/uuid/name_generator_sha1.hpp>
--- a/source/coding/digest.hpp
+++ b/source/coding/digest.hpp
@@ -1,11 +1,11 @@
-// Digests of content for identity: equal digests mean equal content.
+// Digests that identify content: contents with equal digests are taken to be equal.
 #pragma once
 #include "mothwalk.hpp"
 
 namespace mothwalk {
 
-// Sixteen bytes made of the SHA-1 of the content (a name-based UUID, version 5: 122 bits of it). Not for secrets, nor
-// against someone who forges content on purpose.
+// Returns a digest of 16 bytes: a name-based UUID of version 5, which contains 122 bits of the content's SHA-1. It is
+// not suitable for secrets and does not protect against deliberately forged content.
 Bytes digest_of(StringView content);
 
 }  // namespace mothwalk
--- a/source/coding/fields.hpp
+++ b/source/coding/fields.hpp
@@ -1,8 +1,10 @@
-// One description of a record's fields serves every form it takes: CBOR between daemons and on disk, JSON towards
-// people. A record lists its fields once with MOTHWALK_FIELDS; the writers and readers walk that list.
+// Descriptions of a record's fields, for CBOR between daemons and on disk and for JSON in HTTP APIs and settings files.
+// A record lists its fields once with MOTHWALK_FIELDS; the writers and readers of both formats visit that list.
 #pragma once
 #include "mothwalk.hpp"
 
+// MOTHWALK_VISIT calls itself for the rest of the list. The preprocessor does not expand a macro within itself, so each
+// call is deferred, and MOTHWALK_EXPAND rescans the result often enough for the longest list of fields.
 #define MOTHWALK_EXPAND(...) MOTHWALK_EXPAND3(MOTHWALK_EXPAND3(MOTHWALK_EXPAND3(__VA_ARGS__)))
 #define MOTHWALK_EXPAND3(...) MOTHWALK_EXPAND2(MOTHWALK_EXPAND2(MOTHWALK_EXPAND2(__VA_ARGS__)))
 #define MOTHWALK_EXPAND2(...) MOTHWALK_EXPAND1(MOTHWALK_EXPAND1(MOTHWALK_EXPAND1(__VA_ARGS__)))
@@ -10,8 +12,8 @@
 #define MOTHWALK_PARENS ()
 #define MOTHWALK_VISIT(field, ...) \
   visit(#field, field);            \
-  __VA_OPT__(MOTHWALK_VISIT_AGAIN MOTHWALK_PARENS(__VA_ARGS__))
-#define MOTHWALK_VISIT_AGAIN() MOTHWALK_VISIT
+  __VA_OPT__(MOTHWALK_VISIT_DEFERRED MOTHWALK_PARENS(__VA_ARGS__))
+#define MOTHWALK_VISIT_DEFERRED() MOTHWALK_VISIT
 #define MOTHWALK_FIELDS(...)                     \
   template <class Visitor>                       \
   void fields(Visitor&& visit) {                 \
@@ -21,13 +23,13 @@
   void fields(Visitor&& visit) const {           \
     MOTHWALK_EXPAND(MOTHWALK_VISIT(__VA_ARGS__)) \
   }
-#define MOTHWALK_VISIT_AS(outer, member, ...) \
-  visit(outer, member);                       \
-  __VA_OPT__(MOTHWALK_VISIT_AS_AGAIN MOTHWALK_PARENS(__VA_ARGS__))
-#define MOTHWALK_VISIT_AS_AGAIN() MOTHWALK_VISIT_AS
-// Lists a record's fields under outer names that are stated apart from the members, as pairs:
-// MOTHWALK_FIELDS_AS("seats", voters, "version", version). CBOR and JSON carry the outer names alone, so a member can
-// be renamed without a change to what is stored or sent.
+#define MOTHWALK_VISIT_AS(external, member, ...) \
+  visit(external, member);                       \
+  __VA_OPT__(MOTHWALK_VISIT_AS_DEFERRED MOTHWALK_PARENS(__VA_ARGS__))
+#define MOTHWALK_VISIT_AS_DEFERRED() MOTHWALK_VISIT_AS
+// Lists a record's fields as pairs of an external name and a member:
+// MOTHWALK_FIELDS_AS("seats", voters, "version", version). CBOR and JSON contain only the external names, so a
+// member can be renamed without a change to stored or sent data.
 #define MOTHWALK_FIELDS_AS(...)                     \
   template <class Visitor>                          \
   void fields(Visitor&& visit) {                    \
@@ -60,7 +62,7 @@
 template <class T>
 struct is_optional<std::optional<T>> : std::true_type {};
 
-// A field that was renamed and the name that the release before 0.2 gave it. Readers take either for one release.
+// A renamed field and its name before release 0.2. Readers accept both names for one release.
 struct RenamedField {
   StringView name, former;
 };
--- a/source/coding/json.cpp
+++ b/source/coding/json.cpp
@@ -1,4 +1,4 @@
-// Parsing of JSON text with bounds, and the names and HTTP statuses of faults.
+// Parses JSON text with a limit on nesting, and defines the names and HTTP statuses of errors, hashes and base64.
 #include "coding/json.hpp"
 
 #include <boost/archive/iterators/base64_from_binary.hpp>
--- a/source/coding/json.hpp
+++ b/source/coding/json.hpp
@@ -1,5 +1,5 @@
-// Records to JSON and back, over Boost.JSON. Reading is strict: an unknown field, a wrong type or a number out of range
-// gives an error that names the path to the field and what would mend it.
+// Writes records as JSON and reads them, with Boost.JSON. Reading is strict: an unknown field, a wrong type or a number
+// out of range gives an error that names the path of the field and the remedy.
 #pragma once
 #include <boost/json.hpp>
 #include <limits>
@@ -10,6 +10,7 @@
 
 namespace json = boost::json;
 
+// Returns the JSON form of a value. Durations are written in milliseconds.
 template <class T>
 json::value to_json(const T& value) {
   if constexpr (std::is_same_v<T, bool> || std::is_same_v<T, double> || std::is_integral_v<T>)
@@ -39,8 +40,10 @@
   }
 }
 
+// Reads a value from JSON into a record, strictly.
 class JsonReader {
  public:
+  // Returns the first error. `path` is the path of the value in the document, for use in the error.
   template <class T>
   static std::optional<Error> read(const json::value& given, T& value, const std::string& path) {
     if constexpr (std::is_same_v<T, bool>) {
@@ -55,18 +58,18 @@
       if (milliseconds < 0 || milliseconds > 86'400'000) return invalid_value(path, "milliseconds from 0 to 86400000");
       value = std::chrono::milliseconds(milliseconds);
     } else if constexpr (std::is_same_v<T, std::string>) {
-      if (!given.is_string()) return invalid_value(path, "a text");
+      if (!given.is_string()) return invalid_value(path, "a string");
       value = std::string(given.as_string());
     } else if constexpr (std::is_integral_v<T>) {
-      std::optional<std::int64_t> whole;
-      if (given.is_int64()) whole = given.as_int64();
-      if (given.is_uint64() && given.as_uint64() <= INT64_MAX) whole = static_cast<std::int64_t>(given.as_uint64());
+      std::optional<std::int64_t> integer;
+      if (given.is_int64()) integer = given.as_int64();
+      if (given.is_uint64() && given.as_uint64() <= INT64_MAX) integer = static_cast<std::int64_t>(given.as_uint64());
       const std::int64_t lowest = std::is_signed_v<T> ? std::numeric_limits<T>::min() : 0;
       const std::int64_t highest =
           sizeof(T) == 8 ? INT64_MAX : static_cast<std::int64_t>(std::numeric_limits<T>::max());
-      if (!whole || *whole < lowest || *whole > highest)
-        return invalid_value(path, "a whole number from " + std::to_string(lowest) + " to " + std::to_string(highest));
-      value = static_cast<T>(*whole);
+      if (!integer || *integer < lowest || *integer > highest)
+        return invalid_value(path, "an integer from " + std::to_string(lowest) + " to " + std::to_string(highest));
+      value = static_cast<T>(*integer);
     } else if constexpr (is_strong_string<T>::value) {
       return read(given, value.text, path);
     } else if constexpr (is_strong_integer<T>::value) {
@@ -91,17 +94,17 @@
       if (!given.is_object()) return invalid_value(path, "an object");
       std::optional<Error> error;
       std::string known;
-      std::size_t taken = 0;
+      std::size_t fields_found = 0;
       value.fields([&](StringView name, auto& field) {
         known += (known.empty() ? "" : ", ") + std::string(name);
         const json::value* found = given.as_object().if_contains(name);
         if (found == nullptr && !former_name(name).empty()) found = given.as_object().if_contains(former_name(name));
         if (found == nullptr || error) return;
-        ++taken;
+        ++fields_found;
         error = read(*found, field, join(path, name));
       });
       if (error) return error;
-      if (taken != given.as_object().size())
+      if (fields_found != given.as_object().size())
         for (const auto& each : given.as_object())
           if ((", " + known + ", ").find(", " + std::string(each.key()) + ", ") == std::string::npos)
             return Error{ErrorKind::invalid, join(path, each.key()), "this field is not known", "use only: " + known};
@@ -111,22 +114,25 @@
 
  private:
   static Error invalid_value(const std::string& path, const std::string& expected) {
-    return Error{ErrorKind::invalid, path, "the value is of the wrong kind or out of range", "give " + expected};
+    return Error{ErrorKind::invalid, path, "the value has the wrong type or is out of range", "give " + expected};
   }
   static std::string join(const std::string& path, StringView name) {
     return path.empty() ? std::string(name) : path + "." + std::string(name);
   }
 };
 
+// Parses one JSON document, nested at most 32 levels deep.
 Result<json::value> parse_json(StringView text);
+// Returns the JSON object that describes an error in HTTP responses.
 json::value error_to_json(const Error& error);
 
-// Whether the bytes can stand in JSON as a text, as they are; and their form where they can't.
+// Whether the bytes can be written as a JSON string without a change.
 bool is_text(StringView bytes);
 std::string base64(StringView bytes);
-// The bytes that a text in base64 stands for; none where it is not such a text.
+// Decodes base64. Returns nothing if the text is not valid base64.
 std::optional<Bytes> base64_bytes(StringView text);
 
+// Parses JSON text and reads a value from it.
 template <class T>
 Result<T> from_json(StringView text) {
   auto parsed = parse_json(text);
--- a/tests/coding_test.cpp
+++ b/tests/coding_test.cpp
@@ -1,4 +1,4 @@
-// Forms of records: round trips, strict reading with field paths, and foreign bytes.
+// Encoding of records: round trips, strict reading with field paths, and invalid input.
 #include <catch2/catch.hpp>
 
 #include "coding/cbor.hpp"
@@ -9,20 +9,20 @@
 
 using namespace mothwalk;
 
-TEST_CASE("a record comes back from CBOR as it was, and fields that are not known are passed over") {
+TEST_CASE("a record is unchanged by a round trip through CBOR, and unknown fields are skipped") {
   LotEntry entry;
   entry.what = "result";
   entry.item = 7;
   entry.elapsed = Duration{-5};
   entry.status = -3;
   entry.body = Bytes("a\0b", 3);
-  auto back = from_cbor<LotEntry>(to_cbor(entry));
-  REQUIRE(back);
-  CHECK(back->what == "result");
-  CHECK(back->elapsed == Duration{-5});
-  CHECK(back->status == -3);
-  CHECK(back->body == Bytes("a\0b", 3));
-  // A newer daemon's message read by an older one: only the fields that both know.
+  auto decoded = from_cbor<LotEntry>(to_cbor(entry));
+  REQUIRE(decoded);
+  CHECK(decoded->what == "result");
+  CHECK(decoded->elapsed == Duration{-5});
+  CHECK(decoded->status == -3);
+  CHECK(decoded->body == Bytes("a\0b", 3));
+  // As when an older daemon reads the message of a newer one: only the fields that both know are read.
   auto shorter = from_cbor<ItemName>(to_cbor(entry));
   REQUIRE(shorter);
   CHECK(shorter->item == 7);
@@ -35,7 +35,7 @@
   std::optional<bool> enabled;
   MOTHWALK_FIELDS_AS("number", count, "names", labels, "on", enabled)
 };
-// The same record listed under its members' own names, which are the outer names of the one above.
+// The same record, whose members have the external names of the one above.
 struct OwnNames {
   std::uint32_t number = 0;
   std::vector<std::string> names;
@@ -44,7 +44,7 @@
 };
 }  // namespace
 
-TEST_CASE("a record with outer names apart from its members writes and reads the outer names alone") {
+TEST_CASE("a record with external names that differ from its members writes and reads only the external names") {
   const RenamedMembers renamed{7, {"a", "b"}, true};
   const OwnNames own{7, {"a", "b"}, true};
   CHECK(to_cbor(renamed) == to_cbor(own));
@@ -68,32 +68,32 @@
   CHECK(error_of(inner)->remedy == "use only: number, names, on");
 }
 
-TEST_CASE("every truncation and every flipped byte of an envelope is refused or read, never worse") {
+TEST_CASE("truncated and corrupted envelopes are refused or read, without a crash") {
   Envelope envelope{Address("10.0.0.1:1"), 5, "store", "lots", "store.write", 9, false, Bytes(40, 'x'),
                     protocol_number};
   const Bytes bytes = to_cbor(envelope);
   for (std::size_t length = 0; length < bytes.size(); ++length)
     CHECK_FALSE(from_cbor<Envelope>(StringView(bytes).substr(0, length)));
   for (std::size_t at = 0; at < bytes.size(); ++at)
-    for (int flip : {0x01, 0x20, 0x80, 0xff}) {
-      Bytes bad = bytes;
-      bad[at] = static_cast<char>(bad[at] ^ flip);
-      (void)from_cbor<Envelope>(bad);
+    for (int mask : {0x01, 0x20, 0x80, 0xff}) {
+      Bytes corrupted = bytes;
+      corrupted[at] = static_cast<char>(corrupted[at] ^ mask);
+      (void)from_cbor<Envelope>(corrupted);
     }
   CHECK_FALSE(from_cbor<Envelope>("GET / HTTP/1.1\r\n\r\n"));
-  // An array that claims 2^60 members.
+  // An array that states 2^60 members.
   CHECK_FALSE(from_cbor<std::vector<std::string>>(Bytes("\x9b\x10\x00\x00\x00\x00\x00\x00\x00", 9)));
 }
 
-TEST_CASE("JSON is read strictly and a fault names the field and the remedy") {
+TEST_CASE("JSON is read strictly, and an error names the field and the remedy") {
   const ConfigurationView empty;
   ConfigurationView view;
   const Bytes kind = R"({})";
   REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
-  struct Bad {
+  struct InvalidDocument {
     std::string type, name, text, field;
   };
-  const std::vector<Bad> cases{
+  const std::vector<InvalidDocument> cases{
       {"lane", "a", R"({"path":"/a","kind":"model","retires":1})", "retires"},
       {"lane", "a", R"({"path":7,"kind":"model"})", "path"},
       {"lane", "a", R"({"path":"a","kind":"model"})", "path"},
@@ -145,7 +145,7 @@
   CHECK(error_of(check_removal("kind", "model", view))->message.find("lane 'a'") != std::string::npos);
 }
 
-TEST_CASE("a holder is not retired where fewer than three seats would remain") {
+TEST_CASE("a storage node is not retired if fewer than three voters would remain") {
   ConfigurationView view;
   for (const char* address : {"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
     view.roster.seats.push_back(Voter{StorageNodeId(address), Address(address), ZoneId("h")});
@@ -158,7 +158,7 @@
   CHECK(error_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view)) != nullptr);
 }
 
-TEST_CASE("a seat that is joining owns a slot only where no other seat can") {
+TEST_CASE("a voter that is joining owns a slot only if no other voter can") {
   Roster roster{Version{3}, {}};
   Members members;
   for (const char* name : {"a", "b", "c"}) {
@@ -190,15 +190,15 @@
   CHECK(view.lane_for("/abc", &name) == nullptr);
 }
 
-TEST_CASE("a runner's generation never goes back, and another one than the circle knows makes it cold") {
+TEST_CASE("a runner's generation never decreases, and one that the circle does not know makes the runner cold") {
   ConfigurationView view;
   const Bytes kind = "{}", spec = R"({"kind":"model","address":"10.0.0.1:80","zone":"h","generation":4})";
   REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
   REQUIRE(put_in_view(view, "runner/one", &spec, Stamp{}));
-  const auto back =
+  const auto lower_generation =
       check_document("runner", "one", R"({"kind":"model","address":"10.0.0.1:80","zone":"h","generation":3})", view);
-  REQUIRE(error_of(back) != nullptr);
-  CHECK(error_of(back)->field == "generation");
+  REQUIRE(error_of(lower_generation) != nullptr);
+  CHECK(error_of(lower_generation)->field == "generation");
   CHECK(error_of(check_document("runner", "one", spec, view)) == nullptr);
   Circle circle;
   circle.members = circle.warm = {RunnerId("one")};
@@ -208,7 +208,7 @@
   CHECK(circle.bears("one", 4));
 }
 
-TEST_CASE("an answer that is no text is listed whole, in base64") {
+TEST_CASE("a result that is not text is listed completely, in base64") {
   CHECK(base64("a") == "YQ==");
   CHECK(base64("ab") == "YWI=");
   CHECK(base64("abc") == "YWJj");
@@ -224,7 +224,7 @@
   CHECK(text.at("results").at(1).at("encoding") == "base64");
 }
 
-TEST_CASE("an aim names a lane that there is and shares that can be reached; its lane stays while it does") {
+TEST_CASE("an aim names an existing lane and valid fractions, and its lane cannot be removed") {
   ConfigurationView view;
   const Bytes kind = "{}", lane = R"({"path":"/pay","kind":"model"})", aim = R"({"lane":"pay"})";
   REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
