--- a/source/host/beast_runner_client.cpp
+++ b/source/host/beast_runner_client.cpp
@@ -1,5 +1,6 @@
-// One attempt: a connection, its request, the head and the body piece by piece, each step under its budget. A
-// connection is always being read, so that its end, or an answer that nobody waits for, is seen while it is idle.
+// The steps of an attempt: connecting, writing the request, reading the response header and the body in chunks, each
+// with its own time limit. An idle connection is being read as well, so that its end, or data that answers no request,
+// is detected at once.
 #include "host/beast_runner_client.hpp"
 
 #include <algorithm>
@@ -14,30 +15,30 @@
 using boost::asio::ip::tcp;
 
 namespace {
-constexpr Duration unstated_idle =
-    std::chrono::milliseconds(800);  // where a runner does not say how long it keeps idle ones
+// Assumed where a runner's response does not state how long the runner keeps idle connections.
+constexpr Duration default_idle_timeout = std::chrono::milliseconds(800);
 constexpr std::size_t input_bytes = 8192;
 
 std::string pool_key(const Address& to, const std::string& runner) {
   return to.text + " " + runner;
 }
 
-std::string head_of(const AttemptRequest& request) {
-  std::string head = request.method + " " + request.target + " HTTP/1.1\r\n";
+std::string request_header(const AttemptRequest& request) {
+  std::string header = request.method + " " + request.target + " HTTP/1.1\r\n";
   bool host = false;
   for (const auto& header : request.headers) {
     host = host || same_name(header.name, "Host");
-    head.append(header.name).append(": ").append(header.value).append("\r\n");
+    header.append(header.name).append(": ").append(header.value).append("\r\n");
   }
-  if (!host) head.append("Host: ").append(request.to.text).append("\r\n");
+  if (!host) header.append("Host: ").append(request.to.text).append("\r\n");
   const std::size_t length = request.body ? request.body->size() : 0;
   if (length > 0 || (request.method != "GET" && request.method != "HEAD"))
-    head.append("Content-Length: ").append(std::to_string(length)).append("\r\n");
-  return head += "\r\n";
+    header.append("Content-Length: ").append(std::to_string(length)).append("\r\n");
+  return header += "\r\n";
 }
 
-// The seconds of "timeout=5, max=100".
-std::optional<Duration> idle_of(const std::vector<Header>& headers) {
+// Returns the timeout of a Keep-Alive header such as "timeout=5, max=100". The value is in seconds.
+std::optional<Duration> keep_alive_timeout(const std::vector<Header>& headers) {
   const std::string* text = header_of(headers, "Keep-Alive");
   if (text == nullptr) return std::nullopt;
   const auto begin = text->find("timeout=");
@@ -51,91 +52,96 @@
 }  // namespace
 
 struct BeastRunnerClient::Connection {
-  Connection(boost::asio::io_context& context, std::uint64_t given, std::string key_given)
-      : number(given), key(std::move(key_given)), socket(context) {}
-  std::uint64_t number;
+  Connection(boost::asio::io_context& context, std::uint64_t connection_id, std::string pool)
+      : id(connection_id), key(std::move(pool)), socket(context) {}
+  std::uint64_t id;
   std::string key;
   tcp::socket socket;
   std::array<char, input_bytes> input;
-  std::size_t filled = 0;
-  bool closed = false, reading = false, used_before = false;
-  TimePoint used;
-  Duration idle = unstated_idle;
+  std::size_t input_size = 0;
+  bool closed = false, reading = false, reused = false;
+  TimePoint last_used;
+  Duration idle_timeout = default_idle_timeout;
 
-  // Of the attempt that it carries; no watcher: idle.
-  Id id = 0;
-  TimePoint decided;  // when its caller decided to send it
-  std::shared_ptr<AttemptObserver> watcher;
+  // The state of the attempt that uses the connection. Without an observer the connection is idle.
+  Id attempt_id = 0;
+  TimePoint decided_at;  // When the user of this client decided to send the attempt.
+  std::shared_ptr<AttemptObserver> observer;
   AttemptRequest request;
-  std::string head;
-  std::size_t sent = 0;
-  bool sent_before = false;  // bytes of it left over another connection, whose runner may have run it
-  bool connected = false, written = false, held = false, any_byte = false, any_piece = false, headed = false;
+  std::string header;
+  std::size_t bytes_sent = 0;
+  // Whether bytes of the request were sent over an earlier connection, so that the runner may have run it.
+  bool sent_earlier = false;
+  bool connected = false, request_written = false, paused = false, received_any = false, body_received = false,
+       header_received = false;
   std::optional<HttpReader<false>> reader;
 };
 
 BeastRunnerClient::~BeastRunnerClient() {
-  for (auto& [number, connection] : connections_) {
+  for (auto& [id, connection] : connections_) {
     connection->closed = true;
-    connection->watcher.reset();
+    connection->observer.reset();
     boost::system::error_code ignored;
     connection->socket.close(ignored);
   }
 }
 
-RunnerClient::Id BeastRunnerClient::start(const AttemptRequest& given, std::shared_ptr<AttemptObserver> watcher) {
-  return start_decided(given, std::move(watcher), clock_());
+RunnerClient::Id BeastRunnerClient::start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> observer) {
+  return start_decided_at(given, std::move(observer), clock_());
 }
 
-RunnerClient::Id BeastRunnerClient::start_decided(const AttemptRequest& given, std::shared_ptr<AttemptObserver> watcher,
-                                                  TimePoint decided) {
-  const Id id = ++last_;
-  const std::string key = pool_key(given.to, given.runner);
-  ConnectionPointer connection = idle_for(key, given.repeatable);
-  const bool kept = connection != nullptr;
-  if (!kept) {
+RunnerClient::Id BeastRunnerClient::start_decided_at(const AttemptRequest& request,
+                                                     std::shared_ptr<AttemptObserver> observer, TimePoint decided_at) {
+  const Id attempt_id = ++last_attempt_id_;
+  const std::string key = pool_key(request.to, request.runner);
+  ConnectionPointer connection = take_idle_connection(key, request.repeatable);
+  const bool reuse = connection != nullptr;
+  if (!reuse) {
     connection = std::make_shared<Connection>(context_, ++last_connection_, key);
-    connections_[connection->number] = connection;
+    connections_[connection->id] = connection;
     Pool& pool = pools_[key];
     ++pool.open;
-    if (given.connections > 0 && pool.open > given.connections && !pool.idle.empty())
+    if (request.connections > 0 && pool.open > request.connections && !pool.idle.empty())
       close(ConnectionPointer(pool.idle.front()));
   }
-  attempts_[id] = connection;
-  connection->id = id;
-  connection->decided = decided;
-  connection->watcher = std::move(watcher);
-  connection->request = given;
-  connection->head = head_of(given);
-  connection->sent = 0;
-  connection->sent_before = false;
-  connection->written = connection->held = connection->any_byte = connection->any_piece = connection->headed = false;
-  connection->used_before = kept;
+  attempts_[attempt_id] = connection;
+  connection->attempt_id = attempt_id;
+  connection->decided_at = decided_at;
+  connection->observer = std::move(observer);
+  connection->request = request;
+  connection->header = request_header(request);
+  connection->bytes_sent = 0;
+  connection->sent_earlier = false;
+  connection->request_written = connection->paused = connection->received_any = connection->body_received =
+      connection->header_received = false;
+  connection->reused = reuse;
   connection->reader.emplace();
   connection->reader->header_limit(16384);
   connection->reader->body_limit(boost::none);
-  if (given.method == "HEAD") connection->reader->skip(true);
-  if (kept) {
+  if (request.method == "HEAD") connection->reader->skip(true);
+  if (reuse) {
     ++counts_.reused;
-    write_first(connection);
+    start_write(connection);
   } else {
     connect(connection);
   }
-  return id;
+  return attempt_id;
 }
 
-// The idle connection used last, if it is good enough for this work.
-BeastRunnerClient::ConnectionPointer BeastRunnerClient::idle_for(const std::string& key, bool repeatable) {
+// Takes the idle connection that was used last, provided it is young enough. The runner closes a connection when its
+// idle timeout has passed, and the close may cross the next request. A connection is therefore used for three quarters
+// of the idle timeout by repeatable requests, and for half of it by others.
+BeastRunnerClient::ConnectionPointer BeastRunnerClient::take_idle_connection(const std::string& key, bool repeatable) {
   auto found = pools_.find(key);
   if (found == pools_.end()) return nullptr;
   const TimePoint now = clock_();
   while (!found->second.idle.empty()) {
     const ConnectionPointer connection = found->second.idle.back();
-    const Duration age = now - connection->used;
-    if (age * 2 > connection->idle && !repeatable && age * 4 < connection->idle * 3) return nullptr;
+    const Duration age = now - connection->last_used;
+    if (age * 2 > connection->idle_timeout && !repeatable && age * 4 < connection->idle_timeout * 3) return nullptr;
     boost::system::error_code error;
     char byte = 0;
-    if (age * 4 < connection->idle * 3)
+    if (age * 4 < connection->idle_timeout * 3)
       connection->socket.receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, error);
     if (error == boost::asio::error::would_block) {
       found->second.idle.pop_back();
@@ -157,7 +163,7 @@
     return;
   }
   ++counts_.opened;
-  deadlines_.set(connection->number, connection->decided + connection->request.connecting);
+  deadlines_.set(connection->id, connection->decided_at + connection->request.connecting);
   connection->socket.async_connect(*endpoint, [this, connection](const boost::system::error_code& failed) {
     if (connection->closed) return;
     if (failed) return finish(connection, AttemptOutcome::not_sent);
@@ -165,26 +171,27 @@
     boost::system::error_code ignored;
     connection->socket.set_option(tcp::no_delay(true), ignored);
     connection->socket.non_blocking(true, ignored);
-    write_first(connection);
+    start_write(connection);
     if (!connection->closed) read(connection);
   });
 }
 
-bool BeastRunnerClient::outdated(const Connection& connection) const {
-  return clock_() - connection.decided > connection.request.connecting;
+bool BeastRunnerClient::decision_expired(const Connection& connection) const {
+  return clock_() - connection.decided_at > connection.request.connecting;
 }
 
-// A process that was suspended since the decision wakes with a configuration that may be old: it sends nothing. Where
-// the suspension fell between the check and the end of the write, the runner may have begun, and is reset at once.
-void BeastRunnerClient::write_first(const ConnectionPointer& connection) {
-  auto later = [this, connection, id = connection->id](AttemptOutcome end) {
-    boost::asio::post(context_, [this, connection, id, end] {
-      if (connection->id == id) finish(connection, end);
+// A process that was suspended after the decision to send may resume with an outdated configuration, so it sends
+// nothing. If the suspension fell between the check and the end of the write, the runner may have started on the
+// request; the connection is then reset at once.
+void BeastRunnerClient::start_write(const ConnectionPointer& connection) {
+  auto later = [this, connection, attempt_id = connection->attempt_id](AttemptOutcome outcome) {
+    boost::asio::post(context_, [this, connection, attempt_id, outcome] {
+      if (connection->attempt_id == attempt_id) finish(connection, outcome);
     });
   };
-  if (outdated(*connection)) return later(AttemptOutcome::not_sent);
+  if (decision_expired(*connection)) return later(AttemptOutcome::not_sent);
   write(connection);
-  if (connection->sent == 0 || !outdated(*connection)) return;
+  if (connection->bytes_sent == 0 || !decision_expired(*connection)) return;
   boost::system::error_code ignored;
   connection->socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
   connection->socket.close(ignored);
@@ -193,158 +200,161 @@
 
 void BeastRunnerClient::write(const ConnectionPointer& connection) {
   const std::size_t body = connection->request.body ? connection->request.body->size() : 0;
-  const std::size_t whole = connection->head.size() + body;
+  const std::size_t total = connection->header.size() + body;
   boost::system::error_code error;
-  while (connection->sent < whole && !error) {
+  while (connection->bytes_sent < total && !error) {
     std::array<boost::asio::const_buffer, 2> buffers;
-    const std::size_t of_body =
-        connection->sent > connection->head.size() ? connection->sent - connection->head.size() : 0;
-    buffers[0] = boost::asio::buffer(connection->head) + connection->sent;
-    if (body > 0) buffers[1] = boost::asio::buffer(*connection->request.body) + of_body;
-    connection->sent += connection->socket.write_some(buffers, error);
+    const std::size_t body_offset =
+        connection->bytes_sent > connection->header.size() ? connection->bytes_sent - connection->header.size() : 0;
+    buffers[0] = boost::asio::buffer(connection->header) + connection->bytes_sent;
+    if (body > 0) buffers[1] = boost::asio::buffer(*connection->request.body) + body_offset;
+    connection->bytes_sent += connection->socket.write_some(buffers, error);
   }
-  deadlines_.set(connection->number, steady_now() + connection->request.first_piece);
-  if (connection->sent == whole) {
-    connection->written = true;
+  deadlines_.set(connection->id, steady_now() + connection->request.first_piece);
+  if (connection->bytes_sent == total) {
+    connection->request_written = true;
     return;
   }
   if (error == boost::asio::error::would_block) {
-    connection->socket.async_wait(tcp::socket::wait_write,
-                                  [this, connection, id = connection->id](const boost::system::error_code& failed) {
-                                    if (failed || connection->closed || connection->id != id) return;
-                                    connection->sent == 0 ? write_first(connection) : write(connection);
-                                  });
+    connection->socket.async_wait(tcp::socket::wait_write, [this, connection, attempt_id = connection->attempt_id](
+                                                               const boost::system::error_code& failed) {
+      if (failed || connection->closed || connection->attempt_id != attempt_id) return;
+      connection->bytes_sent == 0 ? start_write(connection) : write(connection);
+    });
     return;
   }
-  // A runner may answer and close before it has read all: its answer is read all the same.
-  if (connection->sent == 0)
-    boost::asio::post(context_, [this, connection, id = connection->id] {
-      if (connection->id == id) broken(connection);
+  // A runner may respond and close the connection before it has read the whole request, so after a partial write the
+  // response is still read.
+  if (connection->bytes_sent == 0)
+    boost::asio::post(context_, [this, connection, attempt_id = connection->attempt_id] {
+      if (connection->attempt_id == attempt_id) handle_broken_connection(connection);
     });
 }
 
 void BeastRunnerClient::read(const ConnectionPointer& connection) {
-  if (connection->held || connection->reading || connection->closed) return;
+  if (connection->paused || connection->reading || connection->closed) return;
   connection->reading = true;
-  connection->socket.async_read_some(
-      boost::asio::buffer(connection->input.data() + connection->filled, connection->input.size() - connection->filled),
-      [this, connection](const boost::system::error_code& error, std::size_t count) {
-        connection->reading = false;
-        if (connection->closed) return;
-        if (!connection->watcher) {
-          // Its end, or an answer that nobody asked for.
-          counts_.unasked += !error;
-          return close(connection);
-        }
-        if (error) return input_ended(connection, error);
-        take(connection, count);
-      });
+  connection->socket.async_read_some(boost::asio::buffer(connection->input.data() + connection->input_size,
+                                                         connection->input.size() - connection->input_size),
+                                     [this, connection](const boost::system::error_code& error, std::size_t count) {
+                                       connection->reading = false;
+                                       if (connection->closed) return;
+                                       if (!connection->observer) {
+                                         // The runner closed the idle connection, or sent data that answers no request.
+                                         counts_.unsolicited += !error;
+                                         return close(connection);
+                                       }
+                                       if (error) return handle_end_of_input(connection, error);
+                                       process_input(connection, count);
+                                     });
 }
 
-void BeastRunnerClient::take(const ConnectionPointer& connection, std::size_t count) {
-  connection->filled += count;
-  connection->any_byte = true;
+void BeastRunnerClient::process_input(const ConnectionPointer& connection, std::size_t count) {
+  connection->input_size += count;
+  connection->received_any = true;
   HttpReader<false>& reader = *connection->reader;
   boost::system::error_code error;
-  const std::size_t used = reader.feed(StringView(connection->input.data(), connection->filled), error);
-  std::copy(connection->input.begin() + static_cast<std::ptrdiff_t>(used),
-            connection->input.begin() + static_cast<std::ptrdiff_t>(connection->filled), connection->input.begin());
-  connection->filled -= used;
-  const std::shared_ptr<AttemptObserver> watcher = connection->watcher;
-  const Id id = connection->id;
-  auto mine = [&] {
-    return !connection->closed && connection->id == id;
+  const std::size_t consumed = reader.feed(StringView(connection->input.data(), connection->input_size), error);
+  std::copy(connection->input.begin() + static_cast<std::ptrdiff_t>(consumed),
+            connection->input.begin() + static_cast<std::ptrdiff_t>(connection->input_size), connection->input.begin());
+  connection->input_size -= consumed;
+  const std::shared_ptr<AttemptObserver> observer = connection->observer;
+  const Id attempt_id = connection->attempt_id;
+  auto still_current = [&] {
+    return !connection->closed && connection->attempt_id == attempt_id;
   };
-  if (reader.is_header_done() && !connection->headed) {
-    connection->headed = true;
+  if (reader.is_header_done() && !connection->header_received) {
+    connection->header_received = true;
     if (error || reader.status < 200 || reader.status > 599) return finish(connection, AttemptOutcome::broken);
-    if (const auto idle = idle_of(reader.headers)) connection->idle = *idle;
-    watcher->on_head(reader.status, reader.headers);
-    if (!mine()) return;
+    if (const auto timeout = keep_alive_timeout(reader.headers)) connection->idle_timeout = *timeout;
+    observer->on_head(reader.status, reader.headers);
+    if (!still_current()) return;
   }
   if (!reader.body.empty()) {
-    connection->any_piece = true;
+    connection->body_received = true;
     const Bytes piece = std::exchange(reader.body, {});
-    watcher->on_chunk(piece);
-    if (!mine()) return;
+    observer->on_chunk(piece);
+    if (!still_current()) return;
   }
-  if (error || (connection->filled == connection->input.size() && used == 0))
+  if (error || (connection->input_size == connection->input.size() && consumed == 0))
     return finish(connection, AttemptOutcome::broken);
   if (reader.is_done()) return finish(connection, AttemptOutcome::whole);
-  watcher->on_pause();
-  if (!mine()) return;
-  if (connection->held)
-    deadlines_.clear(connection->number);
+  observer->on_pause();
+  if (!still_current()) return;
+  if (connection->paused)
+    deadlines_.clear(connection->id);
   else
-    deadlines_.set(connection->number, steady_now() + (connection->any_piece ? connection->request.between_pieces
+    deadlines_.set(connection->id, steady_now() + (connection->body_received ? connection->request.between_pieces
                                                                              : connection->request.first_piece));
   read(connection);
 }
 
-// An answer without a length or chunks is whole where its connection ends in order; a reset is a break.
-void BeastRunnerClient::input_ended(const ConnectionPointer& connection, const boost::system::error_code& error) {
-  const bool unframed = connection->headed && connection->reader->need_eof();
-  if (error != boost::asio::error::eof || !unframed) return broken(connection);
+// A response with neither a length nor chunked encoding is complete when the runner closes the connection in order.
+// After a reset it is incomplete.
+void BeastRunnerClient::handle_end_of_input(const ConnectionPointer& connection,
+                                            const boost::system::error_code& error) {
+  const bool unframed = connection->header_received && connection->reader->need_eof();
+  if (error != boost::asio::error::eof || !unframed) return handle_broken_connection(connection);
   finish(connection, AttemptOutcome::whole);
 }
 
-// The connection ended before the answer did. Where that was one kept since an earlier request, and no byte of an
-// answer came, repeatable work goes again over a fresh one, while the decision to send it to this runner is fresh; any
-// work does where nothing was written.
-void BeastRunnerClient::broken(const ConnectionPointer& connection) {
-  const bool again = connection->used_before && !connection->any_byte && !outdated(*connection) &&
-                     (connection->request.repeatable || connection->sent == 0);
-  if (!again)
-    return finish(connection,
-                  !connection->any_byte && connection->sent == 0 ? AttemptOutcome::not_sent : AttemptOutcome::broken);
-  ++counts_.stale;
-  const Id id = connection->id;
+// Handles a connection that ended before the response was complete. If the connection was reused and no byte of a
+// response has been received, the request is sent once more over a new connection, provided that it is repeatable or
+// nothing of it was written, and that the decision to send it has not expired.
+void BeastRunnerClient::handle_broken_connection(const ConnectionPointer& connection) {
+  const bool retry = connection->reused && !connection->received_any && !decision_expired(*connection) &&
+                     (connection->request.repeatable || connection->bytes_sent == 0);
+  if (!retry)
+    return finish(connection, !connection->received_any && connection->bytes_sent == 0 ? AttemptOutcome::not_sent
+                                                                                       : AttemptOutcome::broken);
+  ++counts_.stale_connections;
+  const Id attempt_id = connection->attempt_id;
   AttemptRequest request = std::move(connection->request);
-  const TimePoint decided = connection->decided;
-  const bool sent_before = connection->sent_before || connection->sent > 0;
-  auto watcher = std::move(connection->watcher);
-  connection->watcher.reset();
+  const TimePoint decided_at = connection->decided_at;
+  const bool sent_earlier = connection->sent_earlier || connection->bytes_sent > 0;
+  auto observer = std::move(connection->observer);
+  connection->observer.reset();
   const std::string key = connection->key;
   close(connection);
-  close_idle_of(key);
-  const Id fresh = start_decided(request, std::move(watcher), decided);
-  auto taken = attempts_.extract(fresh);
-  taken.mapped()->id = id;
-  taken.mapped()->sent_before = sent_before;
-  taken.key() = id;
-  attempts_.insert(std::move(taken));
+  close_idle_in_pool(key);
+  const Id new_id = start_decided_at(request, std::move(observer), decided_at);
+  auto node = attempts_.extract(new_id);
+  node.mapped()->attempt_id = attempt_id;
+  node.mapped()->sent_earlier = sent_earlier;
+  node.key() = attempt_id;
+  attempts_.insert(std::move(node));
 }
 
-void BeastRunnerClient::finish(const ConnectionPointer& connection, AttemptOutcome end) {
-  if (!connection->watcher || connection->closed) return;
-  const auto watcher = std::exchange(connection->watcher, nullptr);
-  attempts_.erase(connection->id);
-  if (end == AttemptOutcome::not_sent && connection->sent_before) end = AttemptOutcome::broken;
-  const bool kept = end == AttemptOutcome::whole && connection->written && connection->filled == 0 &&
-                    connection->reader->is_done() && connection->reader->keep_alive() &&
-                    connection->idle > Duration{} && connection->request.keep_connection;
-  if (!kept) {
-    counts_.unasked += end == AttemptOutcome::whole && connection->filled > 0;
+void BeastRunnerClient::finish(const ConnectionPointer& connection, AttemptOutcome outcome) {
+  if (!connection->observer || connection->closed) return;
+  const auto observer = std::exchange(connection->observer, nullptr);
+  attempts_.erase(connection->attempt_id);
+  if (outcome == AttemptOutcome::not_sent && connection->sent_earlier) outcome = AttemptOutcome::broken;
+  const bool reuse = outcome == AttemptOutcome::whole && connection->request_written && connection->input_size == 0 &&
+                     connection->reader->is_done() && connection->reader->keep_alive() &&
+                     connection->idle_timeout > Duration{} && connection->request.keep_connection;
+  if (!reuse) {
+    counts_.unsolicited += outcome == AttemptOutcome::whole && connection->input_size > 0;
     close(connection);
   } else {
     connection->request = {};
-    connection->held = false;
-    connection->used = clock_();
+    connection->paused = false;
+    connection->last_used = clock_();
     pools_[connection->key].idle.push_back(connection);
-    deadlines_.set(connection->number, connection->used + connection->idle * 3 / 4);
+    deadlines_.set(connection->id, connection->last_used + connection->idle_timeout * 3 / 4);
     read(connection);
   }
-  watcher->on_end(end);
+  observer->on_end(outcome);
 }
 
 void BeastRunnerClient::close(const ConnectionPointer& given) {
-  const ConnectionPointer connection = given;
+  const ConnectionPointer connection = request;
   if (connection->closed) return;
   connection->closed = true;
-  connection->watcher.reset();
-  attempts_.erase(connection->id);
-  deadlines_.clear(connection->number);
-  connections_.erase(connection->number);
+  connection->observer.reset();
+  attempts_.erase(connection->attempt_id);
+  deadlines_.clear(connection->id);
+  connections_.erase(connection->id);
   if (auto pool = pools_.find(connection->key); pool != pools_.end()) {
     std::erase(pool->second.idle, connection);
     if (--pool->second.open == 0) pools_.erase(pool);
@@ -353,7 +363,7 @@
   connection->socket.close(ignored);
 }
 
-void BeastRunnerClient::close_idle_of(const std::string& key) {
+void BeastRunnerClient::close_idle_in_pool(const std::string& key) {
   auto pool = pools_.find(key);
   while (pool != pools_.end() && !pool->second.idle.empty()) {
     close(ConnectionPointer(pool->second.idle.back()));
@@ -362,7 +372,7 @@
 }
 
 void BeastRunnerClient::close_idle(const Address& to, const std::string& runner) {
-  close_idle_of(pool_key(to, runner));
+  close_idle_in_pool(pool_key(to, runner));
 }
 
 std::size_t BeastRunnerClient::connections(const Address& to, const std::string& runner) const {
@@ -370,26 +380,26 @@
   return pool == pools_.end() ? 0 : pool->second.open;
 }
 
-void BeastRunnerClient::due(std::uint64_t key) {
+void BeastRunnerClient::on_deadline(std::uint64_t key) {
   auto found = connections_.find(key);
   if (found == connections_.end()) return;
   const ConnectionPointer connection = found->second;
-  if (!connection->watcher) return close(connection);
+  if (!connection->observer) return close(connection);
   finish(connection, connection->connected ? AttemptOutcome::late : AttemptOutcome::not_sent);
 }
 
-void BeastRunnerClient::hold(Id id, bool held) {
-  auto found = attempts_.find(id);
-  if (found == attempts_.end() || found->second->held == held) return;
+void BeastRunnerClient::hold(Id attempt_id, bool paused) {
+  auto found = attempts_.find(attempt_id);
+  if (found == attempts_.end() || found->second->paused == paused) return;
   const ConnectionPointer connection = found->second;
-  connection->held = held;
-  if (held || !connection->connected) return;
-  deadlines_.set(connection->number, steady_now() + connection->request.between_pieces);
+  connection->paused = paused;
+  if (paused || !connection->connected) return;
+  deadlines_.set(connection->id, steady_now() + connection->request.between_pieces);
   read(connection);
 }
 
-void BeastRunnerClient::cancel(Id id) {
-  auto found = attempts_.find(id);
+void BeastRunnerClient::cancel(Id attempt_id) {
+  auto found = attempts_.find(attempt_id);
   if (found != attempts_.end()) close(ConnectionPointer(found->second));
 }
 
--- a/source/host/daemon.hpp
+++ b/source/host/daemon.hpp
@@ -1,13 +1,13 @@
-// One daemon: the duties that its place and its folder call for, each on a thread of its own or all on one, joined by
-// bounded rings and the wire.
+// The daemon process: creates the components that its settings and its platform call for, each on an event-loop thread
+// of its own or all on one shared loop. Components communicate through bounded queues and, between daemons, over TCP.
 #pragma once
 #include "circle/circle.hpp"
 #include "control/control.hpp"
 #include "gossip/configuration_gossip.hpp"
 #include "host/beast_runner_client.hpp"
 #include "host/file_disk.hpp"
-#include "host/front.hpp"
-#include "host/place.hpp"
+#include "host/http_server.hpp"
+#include "host/platform_adapter.hpp"
 #include "host/settings.hpp"
 #include "host/tcp_transport.hpp"
 #include "lots/item_placer.hpp"
@@ -18,70 +18,79 @@
 
 namespace mothwalk {
 
+// One daemon process.
 class Daemon {
  public:
-  Daemon(Settings settings, std::string version, std::unique_ptr<PlatformAdapter> place = nullptr);
+  Daemon(Settings settings, std::string version, std::unique_ptr<PlatformAdapter> platform = nullptr);
   ~Daemon();
+  // Creates the components, opens the data folder and starts to listen.
   Result<Success> open();
-  // Runs until a signal has drained it or its disk has failed; gives the exit code.
+  // Runs until the drain that a signal starts is complete, and returns the exit code.
   int run();
 
  private:
-  struct Duty {
-    DutyThread thread;
+  // The event loop of one component, and its messenger for messages to and from other daemons.
+  struct Worker {
+    DutyThread loop;
     std::unique_ptr<Messenger> messenger;
-    Duty(std::string name, boost::asio::io_context* shared_context) : thread(std::move(name), shared_context) {}
+    Worker(std::string name, boost::asio::io_context* shared_context) : loop(std::move(name), shared_context) {}
   };
-  void make_messenger(Duty& duty, const std::string& slice);
+  // Creates the component's messenger and routes messages for the slice to the component's loop.
+  void make_messenger(Worker& worker, const std::string& slice);
   Result<Success> listen();
   void handle(ControlRequest request, ControlAnswer answer);
+  // The counters of all components, as the control API reports them.
   json::value load();
-  // Takes over the seeds that the place names now; without a lease that is tried again each second.
-  void read_seeds_again();
-  void drain(bool long_enough, bool over);
+  // Takes over the seeds that the platform's settings now name. While this daemon has no lease, this is repeated each
+  // second.
+  void reload_seeds();
+  // Ends the daemon if no request is open and the minimum drain time has passed, or if the drain time has expired;
+  // otherwise schedules the next check.
+  void check_drain_progress(bool min_time_passed, bool time_expired);
 
   Settings settings_;
-  std::unique_ptr<PlatformAdapter> place_;
+  std::unique_ptr<PlatformAdapter> platform_;
   boost::asio::io_context main_{1};
   boost::asio::io_context* shared_context_ = settings_.single_thread ? &main_ : nullptr;
   Member self_;
   SharedState shared_state_;
   std::unique_ptr<TcpTransport> transport_;
-  Duty sessions_duty_{"sessions", shared_context_}, news_duty_{"news", shared_context_},
-      store_duty_{"store", shared_context_}, circle_duty_{"circle", shared_context_},
-      lots_duty_{"lots", shared_context_}, placing_duty_{"placing", shared_context_},
-      routes_duty_{"routes", shared_context_}, control_duty_{"control", shared_context_},
-      listing_duty_{"listing", shared_context_}, founding_duty_{"founding", shared_context_};
-  const std::vector<Duty*> duties_{&sessions_duty_, &news_duty_,   &store_duty_,   &circle_duty_,  &lots_duty_,
-                                   &placing_duty_,  &routes_duty_, &control_duty_, &listing_duty_, &founding_duty_};
+  Worker sessions_worker_{"sessions", shared_context_}, gossip_worker_{"news", shared_context_},
+      store_worker_{"store", shared_context_}, circle_worker_{"circle", shared_context_},
+      lots_worker_{"lots", shared_context_}, placing_worker_{"placing", shared_context_},
+      router_worker_{"routes", shared_context_}, control_worker_{"control", shared_context_},
+      listing_worker_{"listing", shared_context_}, founding_worker_{"founding", shared_context_};
+  const std::vector<Worker*> workers_{&sessions_worker_, &gossip_worker_,  &store_worker_,  &circle_worker_,
+                                      &lots_worker_,     &placing_worker_, &router_worker_, &control_worker_,
+                                      &listing_worker_,  &founding_worker_};
   std::unique_ptr<FileDisk> disk_;
-  std::unique_ptr<BeastRunnerClient> live_exchange_, lot_exchange_, list_exchange_;
+  std::unique_ptr<BeastRunnerClient> live_runner_client_, lot_runner_client_, list_runner_client_;
   std::unique_ptr<ListSource> list_source_;
   std::unique_ptr<RunnerList> runner_list_;
   std::unique_ptr<Sessions> sessions_;
-  std::unique_ptr<ConfigurationGossip> news_;
+  std::unique_ptr<ConfigurationGossip> gossip_;
   std::unique_ptr<Founding> founding_;
   std::unique_ptr<ReplicatedStore> store_;
   std::unique_ptr<CircleDuty> circle_;
   std::unique_ptr<Lots> lots_;
-  std::unique_ptr<ItemPlacer> placing_;
+  std::unique_ptr<ItemPlacer> item_placer_;
   std::unique_ptr<Router> router_;
   std::unique_ptr<Control> control_;
-  std::unique_ptr<PlatformApi> surface_;
-  std::unique_ptr<Front> front_;
+  std::unique_ptr<PlatformApi> platform_api_;
+  std::unique_ptr<HttpServer> http_server_;
   std::mutex counts_mutex_;
   RouterCounts counts_;
-  FrontCounts front_counts_;
+  HttpServerCounts http_server_counts_;
   CircleCounts circle_counts_;
   StoreCounts store_counts_;
   LotCounts lot_counts_;
-  std::size_t open_ = 0;
-  std::atomic<std::size_t> placed_{0};
-  std::atomic<std::uint64_t> syncs_{0}, commits_{0};
+  std::size_t open_requests_ = 0;
+  std::atomic<std::size_t> placed_items_{0};
+  std::atomic<std::uint64_t> store_appends_{0}, commits_{0};
   boost::asio::steady_timer drain_timer_{main_};
-  std::function<void()> drain_again_;
-  std::string refused_settings_;  // why the settings were refused when they were last read again
-  TimePoint seeds_read_;
+  std::function<void()> check_drain_;
+  std::string refused_settings_;  // Why the reloaded settings were refused last time; empty if they were accepted.
+  TimePoint seeds_reloaded_at_;
 };
 
 }  // namespace mothwalk
--- a/source/host/deadlines.hpp
+++ b/source/host/deadlines.hpp
@@ -1,50 +1,51 @@
-// Deadlines of many connections on one timer: it is armed for the earliest and looked at again when that has passed, so
-// that a deadline which moves on costs no system call.
+// Deadlines of many connections on one timer. The timer is armed for the earliest deadline and armed again only after
+// it has fired, so moving a deadline to a later time needs no system call.
 #pragma once
-#include "host/duty_thread.hpp"
+#include "host/event_loop.hpp"
 
 namespace mothwalk {
 
+// Calls `on_expired` with the key of each deadline that passes. Each key has at most one deadline.
 class Deadlines {
  public:
-  Deadlines(boost::asio::io_context& context, std::function<void(std::uint64_t)> due)
-      : timer_(context), due_(std::move(due)) {}
+  Deadlines(boost::asio::io_context& context, std::function<void(std::uint64_t)> on_expired)
+      : timer_(context), on_expired_(std::move(on_expired)) {}
   void set(std::uint64_t key, TimePoint at) {
     clear(key);
-    moments_[key] = at;
-    order_.emplace(at, key);
+    deadline_by_key_[key] = at;
+    queue_.emplace(at, key);
     if (!armed_ || at < *armed_) arm();
   }
   void clear(std::uint64_t key) {
-    auto found = moments_.find(key);
-    if (found == moments_.end()) return;
-    order_.erase({found->second, key});
-    moments_.erase(found);
+    auto found = deadline_by_key_.find(key);
+    if (found == deadline_by_key_.end()) return;
+    queue_.erase({found->second, key});
+    deadline_by_key_.erase(found);
   }
 
  private:
   void arm() {
     armed_.reset();
-    if (order_.empty()) return;
-    armed_ = order_.begin()->first;
+    if (queue_.empty()) return;
+    armed_ = queue_.begin()->first;
     timer_.expires_after(std::max(Duration{}, *armed_ - steady_now()));
     timer_.async_wait([this](const boost::system::error_code& error) {
       if (error) return;
       const TimePoint now = steady_now();
       std::vector<std::uint64_t> keys;
-      while (!order_.empty() && order_.begin()->first <= now) {
-        keys.push_back(order_.begin()->second);
+      while (!queue_.empty() && queue_.begin()->first <= now) {
+        keys.push_back(queue_.begin()->second);
         clear(keys.back());
       }
       for (const auto key : keys)
-        if (!moments_.contains(key)) due_(key);
+        if (!deadline_by_key_.contains(key)) on_expired_(key);
       arm();
     });
   }
   boost::asio::steady_timer timer_;
-  std::function<void(std::uint64_t)> due_;
-  std::unordered_map<std::uint64_t, TimePoint> moments_;
-  std::set<std::pair<TimePoint, std::uint64_t>> order_;
+  std::function<void(std::uint64_t)> on_expired_;
+  std::unordered_map<std::uint64_t, TimePoint> deadline_by_key_;
+  std::set<std::pair<TimePoint, std::uint64_t>> queue_;
   std::optional<TimePoint> armed_;
 };
 
--- a/source/host/duty_thread.cpp
+++ b/source/host/event_loop.cpp
@@ -1,5 +1,6 @@
-// The steady clock counts suspended time, so that a lease never outlives a machine's sleep.
-#include "host/duty_thread.hpp"
+// Time is read from CLOCK_BOOTTIME, which counts the time during which the machine is suspended. A lease therefore
+// cannot stay valid past its end because the machine was suspended.
+#include "host/event_loop.hpp"
 
 #include <pthread.h>
 #include <time.h>
@@ -47,22 +48,22 @@
 }
 
 bool DutyThread::offer(Task task) {
-  bool first = false;
-  if (!ring_.offer(task, first)) {
+  bool needs_drain = false;
+  if (!queue_.try_push(task, needs_drain)) {
     ++dropped_;
     return false;
   }
-  if (first)
+  if (needs_drain)
     boost::asio::post(context_, [this] {
       std::vector<Task> tasks;
-      ring_.drain(tasks);
+      queue_.drain(tasks);
       for (auto& each : tasks) each();
     });
   return true;
 }
 
 void DutyThread::start() {
-  if (!own_) return;
+  if (!own_context_) return;
   thread_ = std::thread([this] {
     pthread_setname_np(pthread_self(), name_.substr(0, 15).c_str());
     context_.run();
@@ -70,8 +71,8 @@
 }
 
 void DutyThread::stop() {
-  if (!own_) return;
-  own_->stop();
+  if (!own_context_) return;
+  own_context_->stop();
   if (thread_.joinable()) thread_.join();
 }
 
--- a/source/host/file_disk.cpp
+++ b/source/host/file_disk.cpp
@@ -1,4 +1,4 @@
-// Locking the folder, and the thread that executes orders.
+// Locks the data folder and runs the thread that executes disk requests.
 #include "host/file_disk.hpp"
 
 #include <fcntl.h>
@@ -21,13 +21,13 @@
     return Error{ErrorKind::conflict, "data_folder", what + " '" + folder_ + "': " + std::strerror(errno), remedy};
   };
   if (::mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST)
-    return error("can't make", "give a folder whose parent exists and is writable");
+    return error("cannot create", "use a folder whose parent exists and is writable");
   lock_ = ::open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) return error("can't write in", "give a writable folder");
+  if (lock_ < 0) return error("cannot write to", "use a writable folder");
   if (::flock(lock_, LOCK_EX | LOCK_NB) != 0)
-    return error("another daemon uses", "stop that daemon, or give each its own folder");
-  // One that can't be read must never look like an empty folder.
-  if (!files_.open()) return error("can't open the records in", "make the folder's files writable");
+    return error("another daemon is using", "stop that daemon, or give each daemon its own folder");
+  // A folder whose files cannot be read must not be mistaken for an empty one.
+  if (!files_.open()) return error("cannot open the records in", "make the folder's files writable");
   thread_ = std::thread([this] { run(); });
   return Success{};
 }
--- a/source/host/file_disk.hpp
+++ b/source/host/file_disk.hpp
@@ -1,5 +1,5 @@
-// The holder's file on a real disk: a thread executes what has been ordered and syncs once for all appends that have
-// gathered. The folder is locked, so that two daemons never share one.
+// The storage node's file on a real disk. A thread executes the queued disk requests and syncs once for all appends
+// that are queued at that time. The data folder is locked, so that no two daemons use the same one.
 #pragma once
 #include <condition_variable>
 #include <mutex>
@@ -11,9 +11,10 @@
 
 namespace mothwalk {
 
+// A Disk in a folder of the file system.
 class FileDisk : public Disk {
  public:
-  // Callbacks are handed to `execute`.
+  // Completion callbacks are passed to `execute`, which runs them on the owner's event loop.
   FileDisk(std::string folder, std::function<void(Task)> execute)
       : folder_(std::move(folder)), execute_(std::move(execute)), volume_(folder_), files_(volume_) {}
   ~FileDisk() override;
--- a/source/host/http_client.cpp
+++ b/source/host/http_client.cpp
@@ -1,4 +1,4 @@
-// One request on a stream of its own.
+// Each call opens and closes its own connection.
 #include "host/http_client.hpp"
 
 #include <algorithm>
@@ -42,9 +42,9 @@
   });
   context.run();
   if (!outcome || *outcome) {
-    const std::string what = outcome ? outcome->message() : "nothing happened";
+    const std::string what = outcome ? outcome->message() : "the call ended without a result";
     return Error{sent ? ErrorKind::unknown : ErrorKind::lost, "address", "the call to " + to.text + " failed: " + what,
-                 "check that the daemon runs, or name another with --control"};
+                 "check that the daemon is running, or name another daemon with --control"};
   }
   HttpAnswer answer;
   answer.status = static_cast<int>(parser.get().result_int());
--- a/source/host/http_reader.hpp
+++ b/source/host/http_reader.hpp
@@ -1,5 +1,5 @@
-// One HTTP/1.1 message as it is read: Beast's parser, with the headers as the duties take them and the body's bytes as
-// they come. Bytes after the message's end are left alone.
+// Reads one HTTP/1.1 message incrementally with Beast's parser. Headers are stored in the type that the components use,
+// and body bytes as they arrive. Bytes after the end of the message are not consumed.
 #pragma once
 #include <boost/beast/http/basic_parser.hpp>
 
@@ -7,6 +7,7 @@
 
 namespace mothwalk {
 
+// A parser for a request or a response.
 template <bool is_request>
 class HttpReader : public boost::beast::http::basic_parser<is_request> {
  public:
@@ -15,8 +16,9 @@
   std::string method, target;
   int status = 0, version = 0;
   std::vector<Header> headers;
-  Bytes body;  // what came since the owner last took it
-  // Reads what it can; gives the count of bytes that it is done with. The rest is to be given again, with more.
+  Bytes body;  // The body bytes received since the owner last moved them out.
+  // Parses as much as possible and returns the number of bytes consumed. The caller has to pass the remaining bytes
+  // again, followed by further input.
   std::size_t feed(StringView bytes, ErrorCode& error) {
     std::size_t used = 0;
     while (used < bytes.size() && !this->is_done()) {
--- /dev/null
+++ b/source/host/http_server.cpp
@@ -0,0 +1,517 @@
+// The server's connections: reading requests within limits, writing responses whole or chunk by chunk, and detecting
+// clients that disconnect.
+#include "host/http_server.hpp"
+
+#include <sys/socket.h>
+
+#include <cerrno>
+
+#include <boost/beast/http/rfc7230.hpp>
+#include <boost/beast/http/status.hpp>
+
+#include "host/http_reader.hpp"
+#include "host/tcp_transport.hpp"
+
+namespace mothwalk {
+
+namespace http = boost::beast::http;
+using boost::asio::ip::tcp;
+
+namespace {
+// Connections beyond the limit that are still accepted, so that their clients get a 503 response with Retry-After.
+constexpr std::size_t over_limit_connections = 200;
+constexpr std::size_t small_input_bytes = 4096, large_input_bytes = 32768, max_kept_output_bytes = 16384;
+constexpr Duration close_grace = std::chrono::seconds(1);
+
+bool is_lot_request(StringView, StringView target, const std::vector<Header>&) {
+  return target == "/lots" || target.starts_with("/lots/") || target.starts_with("/lots?");
+}
+
+void put_hex(std::string& out, std::size_t value) {
+  char digits[16];
+  std::size_t count = 0;
+  do digits[count++] = "0123456789abcdef"[value % 16];
+  while (value /= 16);
+  while (count > 0) out.push_back(digits[--count]);
+}
+StringView name_of(CloseCause cause) {
+  switch (cause) {
+    case CloseCause::client_disconnected:
+      return "caller left";
+    case CloseCause::aborted:
+      return "broken off";
+    case CloseCause::deadline:
+      return "deadline";
+    case CloseCause::idle:
+      return "idle";
+    case CloseCause::answered:
+      return "answered";
+  }
+  return "unknown";
+}
+}  // namespace
+
+class HttpServer::Connection : public std::enable_shared_from_this<HttpServer::Connection> {
+ public:
+  Connection(HttpServer& server, tcp::socket socket, bool client_side, std::uint64_t id)
+      : server_(server),
+        server_alive_(server.server_alive_),
+        socket_(std::move(socket)),
+        id_(id),
+        client_side_(client_side),
+        over_limit_(server.connections_.size() >= server.max_connections_) {}
+  ~Connection() {
+    if (*server_alive_) server_.connections_.erase(id_);
+  }
+  void run() { await_request(); }
+  void on_deadline() { close(CloseCause::deadline); }
+  // Whether a request is being read or processed, or bytes of a response are still to be sent.
+  bool busy() const { return !closed_ && (header_read_ || awaiting_response_ || response_complete_ || writing_); }
+  void close_idle() {
+    if (!busy()) close(CloseCause::idle);
+  }
+  // The phase of the current request. It is reported for a request whose connection closes before the response is
+  // complete, for example at the end of the process.
+  const char* phase() const {
+    return awaiting_response_ ? "answering" : response_complete_ || writing_ ? "writing" : "reading";
+  }
+
+ private:
+  // The response sink that the router writes to. Once its request has ended or the connection is closed, its calls have
+  // no effect.
+  class ConnectionSink : public ResponseSink {
+   public:
+    ConnectionSink(std::shared_ptr<Connection> connection, std::uint64_t request_number)
+        : connection_(std::move(connection)), request_number_(request_number) {}
+    void head(int status, const std::vector<Header>& headers) override {
+      if (!current()) return;
+      std::string& out = connection_->start_head(status);
+      bool length = false;
+      for (const auto& header : headers) {
+        length = length || same_name(header.name, "Content-Length");
+        out.append(header.name).append(": ").append(header.value).append("\r\n");
+      }
+      // HTTP defines responses with these statuses, and responses to HEAD, to have no body.
+      bodiless_ = status == 204 || status == 304 || connection_->is_head_request_;
+      chunked_ = !length && !bodiless_;
+      if (chunked_) out.append("Transfer-Encoding: chunked\r\n");
+      out.append("\r\n");
+    }
+    void piece(StringView piece) override {
+      if (!current() || piece.empty() || bodiless_) return;
+      std::string& out = connection_->output_;
+      if (chunked_) {
+        put_hex(out, piece.size());
+        out.append("\r\n").append(piece).append("\r\n");
+      } else {
+        out.append(piece);
+      }
+    }
+    void flush() override {
+      if (current()) connection_->flush();
+    }
+    void end() override {
+      if (!current()) return;
+      if (chunked_) connection_->output_.append("0\r\n\r\n");
+      connection_->finish_response();
+    }
+    void break_off() override {
+      if (!current()) return;
+      connection_->flush();
+      connection_->close(CloseCause::aborted);
+    }
+    std::size_t backlog() const override {
+      return connection_->output_.size() + connection_->in_flight_.size() - connection_->in_flight_written_;
+    }
+
+   private:
+    bool current() const { return connection_->request_number_ == request_number_ && !connection_->closed_; }
+    std::shared_ptr<Connection> connection_;
+    std::uint64_t request_number_;
+    bool bodiless_ = false, chunked_ = false;
+  };
+
+  // Prepares for the next request, whose bytes may already be in the input buffer.
+  void await_request() {
+    limits_ = server_.router_.limits();
+    reader_.emplace();
+    reader_->header_limit(static_cast<std::uint32_t>(limits_.header_bytes));
+    reader_->body_limit(limits_.body_bytes);
+    header_read_ = false;
+    // The grace period keeps the connection open a little longer than clients assume, so that no client sends a request
+    // over a connection that is being closed.
+    set_deadline(limits_.idle_time + close_grace);
+    if (input_size_ > 0)
+      parse();
+    else
+      read();
+  }
+
+  void set_deadline(Duration span) { server_.deadlines_.set(id_, steady_now() + span); }
+
+  void read() {
+    if (reading_ || closed_ || (input_.size() > 0 && input_size_ == input_.size())) return;
+    if (input_.empty()) input_.resize(small_input_bytes);
+    reading_ = true;
+    socket_.async_read_some(boost::asio::buffer(input_.data() + input_size_, input_.size() - input_size_),
+                            [self = shared_from_this()](const boost::system::error_code& error, std::size_t count) {
+                              self->reading_ = false;
+                              if (self->closed_) return;
+                              if (error) return self->close(CloseCause::client_disconnected);
+                              self->input_size_ += count;
+                              if (self->discarding_input_) {
+                                self->input_size_ = 0;
+                                return self->read();
+                              }
+                              if (!self->awaiting_response_ && !self->response_complete_) return self->parse();
+                              // Pipelined requests wait in the buffer until the response is complete. Reading goes on
+                              // so that a disconnect of the client is detected meanwhile.
+                              if (self->input_.size() < large_input_bytes) self->input_.resize(large_input_bytes);
+                              self->read();
+                            });
+  }
+
+  void parse() {
+    boost::system::error_code error;
+    const bool first = !reader_->got_some();
+    const std::size_t used = reader_->feed(StringView(input_.data(), input_size_), error);
+    std::copy(input_.begin() + static_cast<std::ptrdiff_t>(used),
+              input_.begin() + static_cast<std::ptrdiff_t>(input_size_), input_.begin());
+    input_size_ -= used;
+    if (error) return reply_with_parse_error(error);
+    if (reader_->is_header_done() && !header_read_) {
+      header_read_ = true;
+      if (over_limit_) return refuse_temporarily("this daemon has reached its limit of connections");
+      if (reader_->version != 11)
+        return reply_with_error(505,
+                                Error{ErrorKind::invalid, "version", "only HTTP/1.1 is supported", "use HTTP/1.1"});
+      const std::string* expectation = header_of(reader_->headers, "Expect");
+      if (expectation != nullptr && same_name(*expectation, "100-continue") && !reader_->is_done()) {
+        output_.append("HTTP/1.1 100 Continue\r\n\r\n");
+        flush();
+      }
+    }
+    if (reader_->is_done()) return dispatch();
+    if (header_read_)
+      set_deadline(limits_.idle_time);
+    else if (first)
+      set_deadline(limits_.header_time);
+    const std::size_t wanted_size =
+        header_read_ ? large_input_bytes : std::max(small_input_bytes, input_size_ + small_input_bytes / 2);
+    if (input_.size() < wanted_size) input_.resize(wanted_size);
+    read();
+  }
+
+  void reply_with_parse_error(const boost::system::error_code& error) {
+    if (error == http::error::header_limit)
+      return reply_with_error(431,
+                              Error{ErrorKind::too_large, "headers",
+                                    "the headers are longer than " + std::to_string(limits_.header_bytes) + " bytes",
+                                    "send fewer headers"});
+    if (error == http::error::body_limit)
+      return reply_with_error(413, Error{ErrorKind::too_large, "body",
+                                         "the body is longer than " + std::to_string(limits_.body_bytes) + " bytes",
+                                         "send a shorter body"});
+    reply_with_error(
+        400, Error{ErrorKind::invalid, "request", "the input is not a valid HTTP/1.1 request: " + error.message(),
+                   "send a well-formed request"});
+  }
+
+  void dispatch() {
+    server_.deadlines_.clear(id_);
+    if (input_.size() > small_input_bytes && input_size_ < small_input_bytes) {
+      input_.resize(small_input_bytes);
+      input_.shrink_to_fit();
+    }
+    ++server_.counts_.read;
+    keep_alive_ = reader_->keep_alive();
+    is_head_request_ = reader_->method == "HEAD";
+    ++request_number_;
+    awaiting_response_ = true;
+    read();
+    if (server_.closed_) return refuse_temporarily("this daemon is shutting down");
+    const bool for_control =
+        !client_side_ ||
+        (server_.is_control_request_ ? server_.is_control_request_(reader_->method, reader_->target, reader_->headers)
+                                     : is_lot_request(reader_->method, reader_->target, reader_->headers));
+    if (for_control) {
+      if (!client_side_ && client_disconnected()) return close(CloseCause::client_disconnected);
+      ControlRequest control{std::move(reader_->method), std::move(reader_->target), std::move(reader_->body),
+                             client_side_, std::move(reader_->headers)};
+      // The handler may reply from another thread, so it gets a weak pointer only: the connection has to be destroyed
+      // on its own thread. Until the reply, the connection keeps itself alive.
+      self_while_control_replies_ = shared_from_this();
+      const bool accepted = server_.control_handler_(
+          std::move(control),
+          [weak = weak_from_this(), &context = server_.context_, request_number = request_number_](ControlReply reply) {
+            boost::asio::post(context, [weak, request_number, reply = std::move(reply)] {
+              if (auto self = weak.lock(); self && self->request_number_ == request_number && !self->closed_)
+                self->write_reply(reply);
+            });
+          });
+      if (!accepted) refuse_temporarily("the queue of this daemon's control component is full");
+      return;
+    }
+    LiveRequest live{std::move(reader_->method), std::move(reader_->target), std::move(reader_->headers),
+                     std::make_shared<const Bytes>(std::move(reader_->body))};
+    const auto request_number = request_number_;
+    routed_ = true;
+    const Router::Id id =
+        server_.router_.arrive(std::move(live), std::make_shared<ConnectionSink>(shared_from_this(), request_number));
+    if (request_number_ == request_number && awaiting_response_)
+      route_id_ = id;
+    else
+      routed_ = false;
+  }
+
+  // An operator that closed the connection before its request was read (this process may have been suspended) has sent
+  // the request to another daemon by now, possibly followed by later ones. This request must not be applied after
+  // those.
+  bool client_disconnected() {
+    char next_byte = 0;
+    const auto count = ::recv(socket_.native_handle(), &next_byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return count == 0 || (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
+  }
+
+  // Starts the response header: the status line, and `Connection: close` where this is the last response.
+  std::string& start_head(int status) {
+    keep_alive_ = keep_alive_ && !server_.router_.draining();
+    const auto reason = http::obsolete_reason(static_cast<http::status>(status));
+    output_.append("HTTP/1.1 ")
+        .append(std::to_string(status))
+        .append(" ")
+        .append(reason.data(), reason.size())
+        .append("\r\n");
+    if (!keep_alive_) output_.append("Connection: close\r\n");
+    return output_;
+  }
+
+  void write_reply(const ControlReply& reply) {
+    std::string& out = start_head(reply.status);
+    bool type = false, retry = false;
+    for (const auto& header : reply.headers) {
+      type = type || same_name(header.name, "Content-Type");
+      retry = retry || same_name(header.name, "Retry-After");
+      out.append(header.name).append(": ").append(header.value).append("\r\n");
+    }
+    if (!type && !reply.raw) out.append("Content-Type: application/json\r\n");
+    if (reply.retry_after && !retry) out.append("Retry-After: 1\r\n");
+    if (const auto* object = reply.body.if_object(); object != nullptr && object->contains("outcome"))
+      out.append("X-Mothwalk-Outcome: ").append(std::string(object->at("outcome").as_string())).append("\r\n");
+    const Bytes body = reply.raw ? *reply.raw : json::serialize(reply.body) + "\n";
+    out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n");
+    if (!is_head_request_) out.append(body);
+    finish_response();
+  }
+
+  void reply_with_error(int status, const Error& error) {
+    keep_alive_ = false;
+    is_head_request_ = false;
+    refuse(status, error, false);
+  }
+
+  void refuse_temporarily(const std::string& why) {
+    keep_alive_ = keep_alive_ && reader_->is_done() && !over_limit_;
+    refuse(503,
+           Error{ErrorKind::refused, "request", why + "; the request was not processed",
+                 "retry after the time in Retry-After"},
+           true);
+  }
+
+  void refuse(int status, const Error& error, bool retry_after) {
+    json::value body = error_to_json(error);
+    body.as_object()["outcome"] = "refused";
+    awaiting_response_ = true;
+    write_reply(ControlReply{status, std::move(body), retry_after});
+  }
+
+  // Writes as much as the socket accepts at once, and the rest as it becomes writable.
+  void flush() {
+    if (writing_ || closed_ || output_.empty()) return;
+    boost::system::error_code error;
+    std::size_t count = socket_.write_some(boost::asio::buffer(output_), error);
+    if (error && error != boost::asio::error::would_block) return close(CloseCause::client_disconnected);
+    if (error) count = 0;
+    if (count == output_.size()) {
+      output_.clear();
+      if (output_.capacity() > max_kept_output_bytes) output_.shrink_to_fit();
+      return;
+    }
+    in_flight_ = std::exchange(output_, {});
+    in_flight_written_ = count;
+    writing_ = true;
+    continue_write();
+  }
+
+  void continue_write() {
+    socket_.async_write_some(boost::asio::buffer(in_flight_) + in_flight_written_,
+                             [self = shared_from_this()](const boost::system::error_code& error, std::size_t count) {
+                               if (self->closed_) return;
+                               if (error) return self->close(CloseCause::client_disconnected);
+                               self->in_flight_written_ += count;
+                               if (self->response_complete_) self->set_deadline(self->limits_.idle_time);
+                               if (self->in_flight_written_ < self->in_flight_.size()) return self->continue_write();
+                               self->writing_ = false;
+                               self->in_flight_ = {};
+                               self->in_flight_written_ = 0;
+                               self->flush();
+                               if (self->response_complete_ && !self->writing_ && !self->closed_)
+                                 self->finish_request();
+                             });
+  }
+
+  void finish_response() {
+    self_while_control_replies_.reset();
+    awaiting_response_ = routed_ = false;
+    response_complete_ = true;
+    // Closes the connection if the client reads nothing of its response for this time.
+    set_deadline(limits_.idle_time);
+    flush();
+    if (!writing_ && !closed_) finish_request();
+  }
+
+  void finish_request() {
+    response_complete_ = false;
+    ++server_.counts_.answered;
+    if (!keep_alive_) {
+      boost::system::error_code ignored;
+      socket_.shutdown(tcp::socket::shutdown_send, ignored);
+      if (reader_->is_done() && input_size_ == 0) return close(CloseCause::answered);
+      // Closing a socket with unread input resets the connection, which could discard the response before the client
+      // has read it. The rest of the input is read and discarded for a short time first.
+      discarding_input_ = true;
+      input_size_ = 0;
+      set_deadline(close_grace);
+      return read();
+    }
+    if (input_size_ == 0) return await_request();
+    // Posted, because the router may still be in the call that ended the response.
+    boost::asio::post(server_.context_, [self = shared_from_this()] {
+      if (!self->closed_) self->await_request();
+    });
+  }
+
+  void close(CloseCause cause) {
+    if (closed_) return;
+    closed_ = true;
+    if (awaiting_response_ || writing_ || response_complete_) server_.count_incomplete(cause, phase());
+    self_while_control_replies_.reset();
+    server_.deadlines_.clear(id_);
+    boost::system::error_code ignored;
+    socket_.close(ignored);
+    if (routed_ && awaiting_response_)
+      boost::asio::post(server_.context_, [self = shared_from_this()] { self->server_.router_.gone(self->route_id_); });
+  }
+
+  HttpServer& server_;
+  std::shared_ptr<bool> server_alive_;
+  tcp::socket socket_;
+  std::uint64_t id_;
+  bool client_side_, over_limit_;
+  CallerLimits limits_;
+  std::string input_;  // Its first `input_size_` bytes have been received and not parsed yet.
+  std::size_t input_size_ = 0;
+  std::optional<HttpReader<true>> reader_;
+  std::string output_,  // Bytes that no write has been started for.
+      in_flight_;       // Bytes of the write in progress.
+  std::size_t in_flight_written_ = 0;
+  std::uint64_t request_number_ = 0;
+  Router::Id route_id_ = 0;
+  // Keeps the connection alive while the control handler has not replied yet.
+  std::shared_ptr<Connection> self_while_control_replies_;
+  bool keep_alive_ = true, is_head_request_ = false, header_read_ = false, reading_ = false, writing_ = false,
+       response_complete_ = false, discarding_input_ = false, closed_ = false, awaiting_response_ = false,
+       routed_ = false;
+};
+
+HttpServer::HttpServer(boost::asio::io_context& context, Router& router, ControlHandler control,
+                       std::size_t max_connections, ControlRequestFilter is_control_request)
+    : context_(context),
+      router_(router),
+      control_handler_(std::move(control)),
+      max_connections_(max_connections),
+      is_control_request_(std::move(is_control_request)),
+      deadlines_(context, [this](std::uint64_t id) {
+        auto found = connections_.find(number);
+        if (found == connections_.end()) return;
+        if (auto connection = found->second.lock()) connection->on_deadline();
+      }) {}
+
+HttpServer::~HttpServer() {
+  *server_alive_ = false;
+}
+
+Result<Success> HttpServer::listen(const Address& address, bool client_side) {
+  const auto endpoint = endpoint_of(address);
+  const std::string field = client_side ? "callers" : "control";
+  if (!endpoint) return Error{ErrorKind::invalid, field, "'" + address.text + "' is not an address", "give ip:port"};
+  auto listener = std::make_shared<Listener>(Listener{tcp::acceptor(context_), client_side});
+  boost::system::error_code error;
+  listener->acceptor.open(endpoint->protocol(), error);
+  if (!error) listener->acceptor.set_option(tcp::acceptor::reuse_address(true), error);
+  if (!error) listener->acceptor.bind(*endpoint, error);
+  if (!error) listener->acceptor.listen(boost::asio::socket_base::max_listen_connections, error);
+  if (error)
+    return Error{ErrorKind::conflict, field, "cannot listen on " + address.text + ": " + error.message(),
+                 "use an address of this machine with a free port"};
+  listeners_.push_back(listener);
+  accept(listener);
+  return Success{};
+}
+
+void HttpServer::accept(std::shared_ptr<Listener> listener) {
+  listener->acceptor.async_accept([this, listener](const boost::system::error_code& error, tcp::socket socket) {
+    if (error == boost::asio::error::operation_aborted) return;
+    if (!error && connections_.size() < max_connections_ + over_limit_connections) {
+      boost::system::error_code ignored;
+      socket.set_option(tcp::no_delay(true), ignored);
+      socket.non_blocking(true, ignored);
+      const auto connection =
+          std::make_shared<Connection>(*this, std::move(socket), listener->client_side, ++last_connection_);
+      connections_[last_connection_] = connection;
+      connection->run();
+    }
+    if (error) {
+      // Most likely the process is out of file descriptors: accepts again after a short delay.
+      auto timer = std::make_shared<boost::asio::steady_timer>(context_, std::chrono::milliseconds(50));
+      timer->async_wait([this, listener, timer](const boost::system::error_code&) { accept(listener); });
+      return;
+    }
+    accept(listener);
+  });
+}
+
+void HttpServer::close() {
+  closed_ = true;
+  for (auto& listener : listeners_) {
+    boost::system::error_code ignored;
+    listener->acceptor.close(ignored);
+  }
+  for (const auto& connection : connections()) connection->close_idle();
+}
+
+void HttpServer::count_incomplete(CloseCause cause, const char* phase) {
+  ++counts_.cut[std::string(name_of(cause)) + ", " + phase];
+}
+
+std::map<std::string, std::size_t> HttpServer::busy_phases() const {
+  std::map<std::string, std::size_t> phases;
+  for (const auto& connection : connections())
+    if (connection->busy()) ++phases[connection->phase()];
+  return phases;
+}
+
+std::size_t HttpServer::busy() const {
+  const auto all = connections();
+  return static_cast<std::size_t>(
+      std::count_if(all.begin(), all.end(), [](const auto& connection) { return connection->busy(); }));
+}
+
+std::vector<std::shared_ptr<HttpServer::Connection>> HttpServer::connections() const {
+  std::vector<std::shared_ptr<Connection>> all;
+  for (const auto& [number, connection] : connections_)
+    if (auto locked = connection.lock()) all.push_back(std::move(locked));
+  return all;
+}
+
+}  // namespace mothwalk
--- a/source/host/logs.cpp
+++ b/source/host/logs.cpp
@@ -1,4 +1,4 @@
-// The one place that knows easylogging++.
+// Only this file includes easylogging++.
 #define ELPP_THREAD_SAFE
 #define ELPP_NO_DEFAULT_LOG_FILE
 #define ELPP_DISABLE_DEFAULT_CRASH_HANDLING
@@ -28,10 +28,10 @@
   if (!file.empty()) settings.setGlobally(el::ConfigurationType::Filename, std::string(file));
   el::Loggers::reconfigureLogger("default", settings);
 }
-void note(StringView part, StringView sentence) {
-  if (threshold <= 0) LOG(INFO) << "[" << part << "] " << sentence;
+void info(StringView component, StringView message) {
+  if (threshold <= 0) LOG(INFO) << "[" << component << "] " << message;
 }
-void warn(StringView part, StringView sentence) {
-  if (threshold <= 1) LOG(WARNING) << "[" << part << "] " << sentence;
+void warn(StringView component, StringView message) {
+  if (threshold <= 1) LOG(WARNING) << "[" << component << "] " << message;
 }
 }  // namespace mothwalk::logs
--- a/source/host/logs.hpp
+++ b/source/host/logs.hpp
@@ -1,9 +1,10 @@
-// Logs: short sentences with a fixed prefix for each part, through easylogging++.
+// The daemon's log, written through easylogging++. Each line names the component it comes from.
 #pragma once
 #include "mothwalk.hpp"
 
 namespace mothwalk::logs {
+// Sets the level (notes, warnings or quiet) and the file; an empty file name means standard output.
 void start(StringView level, StringView file);
-void note(StringView part, StringView sentence);
-void warn(StringView part, StringView sentence);
+void info(StringView component, StringView message);
+void warn(StringView component, StringView message);
 }  // namespace mothwalk::logs
--- a/source/host/posix_volume.cpp
+++ b/source/host/posix_volume.cpp
@@ -1,4 +1,4 @@
-// System calls on the files of a data folder.
+// Implements file operations with POSIX system calls.
 #include "host/posix_volume.hpp"
 
 #include <fcntl.h>
@@ -9,7 +9,7 @@
 namespace mothwalk {
 
 namespace {
-constexpr std::size_t read_size = 1u << 20;
+constexpr std::size_t read_chunk_bytes = 1u << 20;
 constexpr int open_flags = O_RDWR | O_APPEND | O_CLOEXEC;
 }  // namespace
 
@@ -41,13 +41,13 @@
 }
 
 Result<Bytes> PosixVolume::read(const std::string& file) {
-  const Error error{ErrorKind::damaged, "data_folder", "the records can't be read",
-                    "check the disk, or empty the folder so that this machine joins as a new holder"};
-  const int from = descriptor(file);
-  if (from < 0) return error;
-  Bytes bytes, part(read_size, '\0');
+  const Error error{ErrorKind::damaged, "data_folder", "the records cannot be read",
+                    "check the disk, or empty the folder so that this machine joins as a new storage node"};
+  const int source = descriptor(file);
+  if (source < 0) return error;
+  Bytes bytes, part(read_chunk_bytes, '\0');
   while (true) {
-    const ssize_t count = ::pread(from, part.data(), part.size(), static_cast<off_t>(bytes.size()));
+    const ssize_t count = ::pread(source, part.data(), part.size(), static_cast<off_t>(bytes.size()));
     if (count == 0) return bytes;
     if (count < 0 && errno == EINTR) continue;
     if (count < 0) return error;
@@ -56,11 +56,12 @@
 }
 
 bool PosixVolume::create(const std::string& file) {
-  // The name may still stand for a file in use after a rename that was kept in part, so it is never emptied in place.
+  // After a rename that reached the disk only in part, the name may still refer to the file in use. An existing file is
+  // therefore unlinked and never truncated in place.
   remove(file);
-  const int made = ::open(path(file).c_str(), open_flags | O_CREAT | O_EXCL, 0600);
-  if (made < 0) return false;
-  open_[file] = made;
+  const int created = ::open(path(file).c_str(), open_flags | O_CREAT | O_EXCL, 0600);
+  if (created < 0) return false;
+  open_[file] = created;
   return true;
 }
 
@@ -74,10 +75,10 @@
 }
 
 bool PosixVolume::write(const std::string& file, StringView bytes) {
-  const int to = descriptor(file);
-  if (to < 0) return false;
+  const int target = descriptor(file);
+  if (target < 0) return false;
   while (!bytes.empty()) {
-    const ssize_t count = ::write(to, bytes.data(), bytes.size());
+    const ssize_t count = ::write(target, bytes.data(), bytes.size());
     if (count < 0 && errno == EINTR) continue;
     if (count <= 0) return false;
     bytes.remove_prefix(static_cast<std::size_t>(count));
@@ -86,21 +87,21 @@
 }
 
 bool PosixVolume::cut(const std::string& file, std::size_t size) {
-  const int of = descriptor(file);
-  return of >= 0 && ::ftruncate(of, static_cast<off_t>(size)) == 0;
+  const int opened = descriptor(file);
+  return opened >= 0 && ::ftruncate(opened, static_cast<off_t>(size)) == 0;
 }
 
 bool PosixVolume::sync(const std::string& file) {
-  const int of = descriptor(file);
-  return of >= 0 && ::fdatasync(of) == 0;
+  const int opened = descriptor(file);
+  return opened >= 0 && ::fdatasync(opened) == 0;
 }
 
 bool PosixVolume::rename(const std::string& from, const std::string& to) {
   if (::rename(path(from).c_str(), path(to).c_str()) != 0) return false;
   close(to);
-  if (auto moved = open_.find(from); moved != open_.end()) {
-    open_[to] = moved->second;
-    open_.erase(moved);
+  if (auto renamed = open_.find(from); renamed != open_.end()) {
+    open_[to] = renamed->second;
+    open_.erase(renamed);
   }
   return true;
 }
@@ -108,9 +109,9 @@
 bool PosixVolume::sync_folder() {
   const int folder = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (folder < 0) return false;
-  const bool good = ::fsync(folder) == 0;
+  const bool synced = ::fsync(folder) == 0;
   ::close(folder);
-  return good;
+  return synced;
 }
 
 }  // namespace mothwalk
--- a/source/host/posix_volume.hpp
+++ b/source/host/posix_volume.hpp
@@ -1,4 +1,4 @@
-// The files of a data folder on a real disk.
+// The files of a data folder in the file system.
 #pragma once
 #include <map>
 
@@ -6,6 +6,7 @@
 
 namespace mothwalk {
 
+// A Volume on POSIX system calls. It keeps each file open until the file is removed or renamed over.
 class PosixVolume : public Volume {
  public:
   explicit PosixVolume(std::string folder) : folder_(std::move(folder)) {}
@@ -25,7 +26,8 @@
 
  private:
   std::string path(const std::string& file) const { return folder_ + "/" + file; }
-  int descriptor(const std::string& file);  // opens the file where it is not open; negative where that fails
+  // Returns the descriptor of the file and opens the file if necessary. The result is negative if that fails.
+  int descriptor(const std::string& file);
   void close(const std::string& file);
 
   std::string folder_;
--- a/source/host/precompiled.hpp
+++ b/source/host/precompiled.hpp
@@ -1,4 +1,5 @@
-// What most sources include, compiled once for the product build; no source names this file.
+// The precompiled header of the product build. It contains the headers that most sources include; no source includes it
+// by name.
 #pragma once
 #include <algorithm>
 #include <boost/asio.hpp>
--- a/source/host/tcp_transport.cpp
+++ b/source/host/tcp_transport.cpp
@@ -1,4 +1,4 @@
-// Linking, framing and delivery.
+// Connects to peers, writes and reads frames, and passes received envelopes to the components.
 #include "host/tcp_transport.hpp"
 
 #include <netinet/tcp.h>
@@ -9,14 +9,14 @@
 using asio::ip::tcp;
 
 namespace {
-constexpr std::size_t longest_frame = 64u << 20;
-constexpr std::size_t longest_queue = 96u << 20;
+constexpr std::size_t max_frame_bytes = 64u << 20;
+constexpr std::size_t max_queue_bytes = 96u << 20;
 }  // namespace
 
 std::optional<std::size_t> frame_length(StringView head) {
   std::size_t length = 0;
   for (const char byte : head) length = length << 8 | static_cast<unsigned char>(byte);
-  if (head.size() != frame_head_bytes || length == 0 || length > longest_frame) return std::nullopt;
+  if (head.size() != frame_head_bytes || length == 0 || length > max_frame_bytes) return std::nullopt;
   return length;
 }
 
@@ -33,27 +33,28 @@
   return tcp::endpoint(ip, static_cast<unsigned short>(number));
 }
 
-struct TcpTransport::Link {
-  explicit Link(asio::io_context& context, Address address) : to(std::move(address)), socket(context), timer(context) {}
+struct TcpTransport::OutgoingConnection {
+  explicit OutgoingConnection(asio::io_context& context, Address address)
+      : to(std::move(address)), socket(context), timer(context) {}
   Address to;
   tcp::socket socket;
   asio::steady_timer timer;
   std::deque<Bytes> queue;
-  std::size_t queued = 0;
+  std::size_t queued_bytes = 0;
   bool connected = false, connecting = false, writing = false, dropped = false;
-  TimePoint not_before;
+  TimePoint retry_at;
   Bytes in_flight;
 };
 
-struct TcpTransport::Incoming {
-  explicit Incoming(tcp::socket given) : socket(std::move(given)) {}
+struct TcpTransport::IncomingConnection {
+  explicit IncomingConnection(tcp::socket given) : socket(std::move(given)) {}
   tcp::socket socket;
   std::array<char, frame_head_bytes> head{};
   Bytes body;
 };
 
-TcpTransport::TcpTransport(Address self, std::function<void(StringView)> note, asio::io_context* shared)
-    : self_(std::move(self)), note_(std::move(note)), thread_("wire", shared), acceptor_(thread_.context()) {}
+TcpTransport::TcpTransport(Address self, std::function<void(StringView)> log, asio::io_context* shared)
+    : self_(std::move(self)), log_(std::move(log)), thread_("wire", shared), acceptor_(thread_.context()) {}
 
 Result<Success> TcpTransport::listen() {
   const auto endpoint = endpoint_of(self_);
@@ -64,8 +65,8 @@
   if (!error) acceptor_.bind(*endpoint, error);
   if (!error) acceptor_.listen(asio::socket_base::max_listen_connections, error);
   if (error)
-    return Error{ErrorKind::conflict, "address", "can't listen on " + self_.text + ": " + error.message(),
-                 "give an address of this machine with a free port"};
+    return Error{ErrorKind::conflict, "address", "cannot listen on " + self_.text + ": " + error.message(),
+                 "use an address of this machine with a free port"};
   accept();
   return Success{};
 }
@@ -76,40 +77,41 @@
     if (!error) {
       boost::system::error_code ignored;
       socket.set_option(tcp::no_delay(true), ignored);
-      read(std::make_shared<Incoming>(std::move(socket)));
+      read(std::make_shared<IncomingConnection>(std::move(socket)));
     }
     accept();
   });
 }
 
-void TcpTransport::read(std::shared_ptr<Incoming> incoming) {
+void TcpTransport::read(std::shared_ptr<IncomingConnection> incoming) {
   asio::async_read(
       incoming->socket, asio::buffer(incoming->head),
       [this, incoming](const boost::system::error_code& error, std::size_t) {
         if (error) return;
-        const auto claimed = frame_length(StringView(incoming->head.data(), incoming->head.size()));
-        if (!claimed) {
+        const auto frame_size = frame_length(StringView(incoming->head.data(), incoming->head.size()));
+        if (!frame_size) {
           ++counts_.foreign;
-          return note_("A peer sent a frame of a foreign form; the stream is closed.");
+          return log_("A peer sent a frame header with an invalid length; the connection is closed.");
         }
-        const std::size_t length = *claimed;
-        // The body grows as bytes arrive, so that a bare claim of length takes no memory.
+        const std::size_t length = *frame_size;
+        // The body buffer grows as bytes arrive, so that a large length alone allocates no memory.
         incoming->body.clear();
-        auto more = std::make_shared<std::function<void()>>();
-        std::weak_ptr<std::function<void()>> weak = more;
-        *more = [this, incoming, length, weak] {
-          const std::size_t have = incoming->body.size();
-          const std::size_t step = std::min<std::size_t>(length - have, 1u << 20);
-          incoming->body.resize(have + step);
+        auto read_chunk = std::make_shared<std::function<void()>>();
+        std::weak_ptr<std::function<void()>> weak_read_chunk = read_chunk;
+        *read_chunk = [this, incoming, length, weak_read_chunk] {
+          const std::size_t received = incoming->body.size();
+          const std::size_t step = std::min<std::size_t>(length - received, 1u << 20);
+          incoming->body.resize(received + step);
           asio::async_read(
-              incoming->socket, asio::buffer(incoming->body.data() + have, step),
-              [this, incoming, length, next = weak.lock()](const boost::system::error_code& failed, std::size_t) {
+              incoming->socket, asio::buffer(incoming->body.data() + received, step),
+              [this, incoming, length, read_next = weak_read_chunk.lock()](const boost::system::error_code& failed,
+                                                                           std::size_t) {
                 if (failed) return;
-                if (incoming->body.size() < length) return (*next)();
+                if (incoming->body.size() < length) return (*read_next)();
                 auto envelope = from_cbor<Envelope>(incoming->body);
                 if (!envelope) {
                   ++counts_.foreign;
-                  return note_("A peer sent a frame that can't be read; the stream is closed.");
+                  return log_("A peer sent a frame that is not a valid envelope; the connection is closed.");
                 }
                 ++counts_.frames_in;
                 counts_.bytes_in += length + 4;
@@ -117,19 +119,19 @@
                 read(incoming);
               });
         };
-        (*more)();
+        (*read_chunk)();
       });
 }
 
 void TcpTransport::deliver(Envelope envelope) {
-  auto taker = takers_.find(envelope.slice);
-  if (taker != takers_.end()) taker->second(std::move(envelope));
+  auto handler = handlers_.find(envelope.slice);
+  if (handler != handlers_.end()) handler->second(std::move(envelope));
 }
 
 void TcpTransport::send(const Address& to, Envelope envelope) {
   if (to == self_) return deliver(std::move(envelope));
   const Bytes body = to_cbor(envelope);
-  if (body.size() > longest_frame) return note_("A message is longer than a frame may be; it is dropped.");
+  if (body.size() > max_frame_bytes) return log_("A message exceeds the maximum frame size and is dropped.");
   Bytes frame;
   frame.reserve(body.size() + 4);
   for (int shift = 24; shift >= 0; shift -= 8) frame.push_back(static_cast<char>((body.size() >> shift) & 255));
@@ -138,76 +140,78 @@
 }
 
 void TcpTransport::push(const Address& to, Bytes frame) {
-  auto& link = links_[to];
+  auto& connection = outgoing_[to];
   const TimePoint now = steady_now();
-  if (!link) link = std::make_shared<Link>(thread_.context(), to);
-  if (link->dropped) {
-    if (now < link->not_before) return;
-    link = std::make_shared<Link>(thread_.context(), to);
+  if (!connection) connection = std::make_shared<OutgoingConnection>(thread_.context(), to);
+  if (connection->dropped) {
+    if (now < connection->retry_at) return;
+    connection = std::make_shared<OutgoingConnection>(thread_.context(), to);
   }
-  if (link->queued + frame.size() > longest_queue) return drop(link);
+  if (connection->queued_bytes + frame.size() > max_queue_bytes) return drop(connection);
   ++counts_.frames_out;
   counts_.bytes_out += frame.size();
-  link->queued += frame.size();
-  link->queue.push_back(std::move(frame));
-  if (link->connected)
-    write(link);
-  else if (!link->connecting)
-    connect(link);
+  connection->queued_bytes += frame.size();
+  connection->queue.push_back(std::move(frame));
+  if (connection->connected)
+    write(connection);
+  else if (!connection->connecting)
+    connect(connection);
 }
 
-void TcpTransport::connect(std::shared_ptr<Link> link) {
-  const auto endpoint = endpoint_of(link->to);
-  if (!endpoint) return drop(link);
-  link->connecting = true;
-  link->timer.expires_after(std::chrono::milliseconds(500));
-  link->timer.async_wait([this, link](const boost::system::error_code& error) {
-    if (!error && !link->connected) drop(link);
+void TcpTransport::connect(std::shared_ptr<OutgoingConnection> connection) {
+  const auto endpoint = endpoint_of(connection->to);
+  if (!endpoint) return drop(connection);
+  connection->connecting = true;
+  connection->timer.expires_after(std::chrono::milliseconds(500));
+  connection->timer.async_wait([this, connection](const boost::system::error_code& error) {
+    if (!error && !connection->connected) drop(connection);
   });
-  link->socket.async_connect(*endpoint, [this, link](const boost::system::error_code& error) {
-    if (link->dropped) return;
-    if (error) return drop(link);
-    link->connecting = false;
-    link->connected = true;
-    link->timer.cancel();
+  connection->socket.async_connect(*endpoint, [this, connection](const boost::system::error_code& error) {
+    if (connection->dropped) return;
+    if (error) return drop(connection);
+    connection->connecting = false;
+    connection->connected = true;
+    connection->timer.cancel();
     boost::system::error_code ignored;
-    link->socket.set_option(tcp::no_delay(true), ignored);
-    const int unheard = 1000;
-    setsockopt(link->socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unheard, sizeof unheard);
-    // The peer never writes on this stream: a read that ends tells that it is gone.
+    connection->socket.set_option(tcp::no_delay(true), ignored);
+    const int unacknowledged_ms = 1000;
+    setsockopt(connection->socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms,
+               sizeof unacknowledged_ms);
+    // The peer never writes on this connection, so a read completes only when the connection has ended.
     auto byte = std::make_shared<char>();
-    link->socket.async_read_some(asio::buffer(byte.get(), 1),
-                                 [this, link, byte](const boost::system::error_code&, std::size_t) { drop(link); });
-    write(link);
+    connection->socket.async_read_some(
+        asio::buffer(byte.get(), 1),
+        [this, connection, byte](const boost::system::error_code&, std::size_t) { drop(connection); });
+    write(connection);
   });
 }
 
-void TcpTransport::write(std::shared_ptr<Link> link) {
-  if (link->writing || link->queue.empty()) return;
-  link->writing = true;
-  link->in_flight.clear();
-  while (!link->queue.empty() && link->in_flight.size() < (256u << 10)) {
-    link->in_flight += link->queue.front();
-    link->queue.pop_front();
+void TcpTransport::write(std::shared_ptr<OutgoingConnection> connection) {
+  if (connection->writing || connection->queue.empty()) return;
+  connection->writing = true;
+  connection->in_flight.clear();
+  while (!connection->queue.empty() && connection->in_flight.size() < (256u << 10)) {
+    connection->in_flight += connection->queue.front();
+    connection->queue.pop_front();
   }
-  asio::async_write(link->socket, asio::buffer(link->in_flight),
-                    [this, link](const boost::system::error_code& error, std::size_t) {
-                      if (link->dropped) return;
-                      if (error) return drop(link);
-                      link->writing = false;
-                      link->queued -= link->in_flight.size();
-                      write(link);
+  asio::async_write(connection->socket, asio::buffer(connection->in_flight),
+                    [this, connection](const boost::system::error_code& error, std::size_t) {
+                      if (connection->dropped) return;
+                      if (error) return drop(connection);
+                      connection->writing = false;
+                      connection->queued_bytes -= connection->in_flight.size();
+                      write(connection);
                     });
 }
 
-void TcpTransport::drop(std::shared_ptr<Link> link) {
-  if (link->dropped) return;
-  link->dropped = true;
-  link->not_before = steady_now() + std::chrono::milliseconds(50);
-  link->timer.cancel();
+void TcpTransport::drop(std::shared_ptr<OutgoingConnection> connection) {
+  if (connection->dropped) return;
+  connection->dropped = true;
+  connection->retry_at = steady_now() + std::chrono::milliseconds(50);
+  connection->timer.cancel();
   boost::system::error_code ignored;
-  link->socket.close(ignored);
-  link->queue.clear();
+  connection->socket.close(ignored);
+  connection->queue.clear();
 }
 
 }  // namespace mothwalk
--- a/source/stand_ins/ledger.hpp
+++ b/source/stand_ins/ledger.hpp
@@ -5,7 +5,7 @@
 #include <unistd.h>
 
 #include "coding/json.hpp"
-#include "host/duty_thread.hpp"
+#include "host/event_loop.hpp"
 
 namespace mothwalk {
 
--- a/tests/foreign_peers_test.cpp
+++ b/tests/invalid_messages_test.cpp
@@ -1,5 +1,5 @@
-// Peers that repeat, reorder or mix up their messages, and peers that speak for another life or protocol: what they say
-// changes nothing.
+// Messages that are repeated, reordered or sent to the wrong call, and messages of another incarnation or protocol
+// version must not change any state.
 #include <catch2/catch.hpp>
 
 #include "replication/replicated_store.hpp"
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 
 namespace {
-class Catcher : public Transport {
+class RecordingTransport : public Transport {
  public:
   void send(const Address&, Envelope envelope) override { sent.push_back(std::move(envelope)); }
   std::vector<Envelope> sent;
@@ -19,18 +19,18 @@
 
 const Address self("10.0.0.1:1"), peer("10.0.0.2:1"), other("10.0.0.3:1");
 
-// A daemon's life, with a call to the peer under way.
-struct Asking {
+// One incarnation of a daemon, with a call to the peer in progress.
+struct PendingCall {
   World world{1};
   SimulatedTimers timers{world, std::make_shared<Life>()};
-  Catcher wire;
+  RecordingTransport transport;
   Messenger messenger;
-  std::vector<std::string> heard;
+  std::vector<std::string> results;
 
-  explicit Asking(std::uint64_t incarnation) : messenger(wire, timers, self, incarnation, "news") {
+  explicit PendingCall(std::uint64_t incarnation) : messenger(transport, timers, self, incarnation, "news") {
     messenger.request(peer, Compare{}, seconds(1), [this](Result<CompareReply> result) {
       const auto* error = error_of(result);
-      heard.push_back(error == nullptr ? "answer" : error->field);
+      results.push_back(error == nullptr ? "answer" : error->field);
     });
   }
   Envelope reply(const Address& from) const {
@@ -39,7 +39,7 @@
     envelope.incarnation = 1;
     envelope.slice = envelope.sender = "news";
     envelope.kind = "reply";
-    envelope.call = wire.sent.front().call;
+    envelope.call = transport.sent.front().call;
     envelope.reply = true;
     envelope.body = to_cbor(CompareReply{});
     return envelope;
@@ -47,33 +47,34 @@
 };
 }  // namespace
 
-TEST_CASE("an answer counts once, and from the peer that was asked alone") {
-  Asking asking(5);
-  asking.messenger.take(asking.reply(other));
-  CHECK(asking.heard.empty());
-  asking.messenger.take(asking.reply(peer));
-  asking.messenger.take(asking.reply(peer));
-  asking.world.run_until(asking.world.now() + seconds(2));
-  CHECK(asking.heard == std::vector<std::string>{"answer"});
+TEST_CASE("a reply is accepted once, and only from the peer that was called") {
+  PendingCall pending(5);
+  pending.messenger.take(pending.reply(other));
+  CHECK(pending.results.empty());
+  pending.messenger.take(pending.reply(peer));
+  pending.messenger.take(pending.reply(peer));
+  pending.world.run_until(pending.world.now() + seconds(2));
+  CHECK(pending.results == std::vector<std::string>{"answer"});
 }
 
-TEST_CASE("an answer to a call of an earlier life is no answer to a call of this one") {
+TEST_CASE("a reply to a call of an earlier incarnation is not taken as a reply to a current call") {
   SeededRandom random(4);
-  Asking before(new_incarnation(milliseconds(1000), random)), now(new_incarnation(milliseconds(1300), random));
-  now.messenger.take(before.reply(peer));
-  CHECK(now.heard.empty());
-  now.messenger.take(now.reply(peer));
-  CHECK(now.heard == std::vector<std::string>{"answer"});
+  PendingCall earlier(new_incarnation(milliseconds(1000), random)),
+      current(new_incarnation(milliseconds(1300), random));
+  current.messenger.take(earlier.reply(peer));
+  CHECK(current.results.empty());
+  current.messenger.take(current.reply(peer));
+  CHECK(current.results == std::vector<std::string>{"answer"});
 }
 
-TEST_CASE("a message of another protocol reaches no duty, and a call is refused by a fault") {
+TEST_CASE("a message of another protocol version reaches no component, and a call is refused with an error") {
   World world(1);
   SimulatedTimers timers(world, std::make_shared<Life>());
-  Catcher wire;
+  RecordingTransport transport;
   SharedState shared_state;
   SimulatedDisk disk(world, "here");
   disk.own(std::make_shared<Life>());
-  Messenger messenger(wire, timers, self, 1, "store");
+  Messenger messenger(transport, timers, self, 1, "store");
   Member member;
   member.address = self;
   ReplicatedStore store(messenger, shared_state, disk, world.random, member, {}, ReplicatedStore::Report{});
@@ -93,8 +94,8 @@
     messenger.take(std::move(envelope));
     world.run_until(world.now() + milliseconds(10));
   };
-  RosterUpdate news;
-  news.roster = roster;
+  RosterUpdate roster_update;
+  roster_update.roster = roster;
   Promise promise;
   promise.target = store.identity();
   promise.owner = StorageNodeId("theirs");
@@ -102,13 +103,13 @@
   promise.epoch = Epoch{7};
   promise.roster = roster;
   for (const std::uint32_t protocol : {0u, protocol_number - 1, protocol_number + 1, 0xffffffffu}) {
-    wire.sent.clear();
-    send(RosterUpdate::kind, to_cbor(news), 0, protocol);
+    transport.sent.clear();
+    send(RosterUpdate::kind, to_cbor(roster_update), 0, protocol);
     send(Promise::kind, to_cbor(promise), 8, protocol);
     CHECK(disk.size() == size);
     CHECK(shared_state.control_seats.get()->empty());
     std::size_t refusals = 0;
-    for (const auto& envelope : wire.sent) {
+    for (const auto& envelope : transport.sent) {
       if (!envelope.reply) continue;
       ++refusals;
       CHECK((envelope.kind == "fault" && envelope.call == 8));
@@ -116,40 +117,40 @@
     }
     CHECK(refusals == 1);
   }
-  // The same in the protocol of this daemon is taken.
-  send(RosterUpdate::kind, to_cbor(news), 0, protocol_number);
+  // The same message in this daemon's protocol version is accepted.
+  send(RosterUpdate::kind, to_cbor(roster_update), 0, protocol_number);
   CHECK(disk.size() > size);
 }
 
-TEST_CASE("messages that come twice and out of their order change nothing and lose nothing") {
+TEST_CASE("repeated and reordered messages neither change nor lose any state") {
   World world(12);
   SimulatedCluster cluster(world, shape_named("small", 1.0));
   cluster.start();
   for (int count = 0; count < 400 && !cluster.ready(); ++count) world.run_until(world.now() + milliseconds(100));
   REQUIRE(cluster.ready());
   world.repeats = 1;
-  int acknowledged = 0, taken = 0;
-  // Each lane's next change is sent once the one before it is acknowledged.
-  std::function<void(int)> change = [&](int number) {
+  int acknowledged = 0, accepted_lots = 0;
+  // The next change of each lane is sent once the previous one has been acknowledged.
+  std::function<void(int)> send_change = [&](int number) {
     const std::string lane = "lane-" + std::to_string(number % 4);
     cluster.apply("lane/" + lane,
                   R"({"path":"/)" + lane + R"(","kind":"model","waiting_room":)" + std::to_string(number + 1) + "}",
                   [&, number](Stamp) {
                     ++acknowledged;
-                    if (number < 16) change(number + 4);
+                    if (number < 16) send_change(number + 4);
                   });
   };
-  for (int number = 0; number < 4; ++number) change(number);
+  for (int number = 0; number < 4; ++number) send_change(number);
   for (int number = 0; number < 20; ++number)
     world.after(milliseconds(100) * number, [&, number] {
       cluster.control(
           *cluster.machines[static_cast<std::size_t>(number) % 9], "PUT", "/lots/lot-" + std::to_string(number),
-          R"({"lane":"lines","items":["x","y"]})", [&](int status, const std::string&) { taken += status == 200; },
-          true);
+          R"({"lane":"lines","items":["x","y"]})",
+          [&](int status, const std::string&) { accepted_lots += status == 200; }, true);
     });
   world.run_until(world.now() + seconds(12));
   CHECK(acknowledged == 20);
-  CHECK(taken == 20);
+  CHECK(accepted_lots == 20);
   CHECK(cluster.broken == std::vector<std::string>{});
   for (int number = 0; number < 4; ++number)
     CHECK(cluster.any_alive()
