--- a/source/host/beast_runner_client.cpp
+++ b/source/host/beast_runner_client.cpp
@@ -24,17 +24,17 @@
 }
 
 std::string request_header(const AttemptRequest& request) {
-  std::string header = request.method + " " + request.target + " HTTP/1.1\r\n";
+  std::string text = request.method + " " + request.target + " HTTP/1.1\r\n";
   bool host = false;
   for (const auto& header : request.headers) {
     host = host || same_name(header.name, "Host");
-    header.append(header.name).append(": ").append(header.value).append("\r\n");
+    text.append(header.name).append(": ").append(header.value).append("\r\n");
   }
-  if (!host) header.append("Host: ").append(request.to.text).append("\r\n");
+  if (!host) text.append("Host: ").append(request.to.text).append("\r\n");
   const std::size_t length = request.body ? request.body->size() : 0;
   if (length > 0 || (request.method != "GET" && request.method != "HEAD"))
-    header.append("Content-Length: ").append(std::to_string(length)).append("\r\n");
-  return header += "\r\n";
+    text.append("Content-Length: ").append(std::to_string(length)).append("\r\n");
+  return text += "\r\n";
 }
 
 // Returns the timeout of a Keep-Alive header such as "timeout=5, max=100". The value is in seconds.
@@ -87,7 +87,7 @@
 }
 
 RunnerClient::Id BeastRunnerClient::start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> observer) {
-  return start_decided_at(given, std::move(observer), clock_());
+  return start_decided_at(request, std::move(observer), clock_());
 }
 
 RunnerClient::Id BeastRunnerClient::start_decided_at(const AttemptRequest& request,
--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -15,7 +15,8 @@
 constexpr Duration final_response_time = std::chrono::milliseconds(250);
 
 // Raises the limit of open files to the maximum that the system allows. Client connections may use half of it, because
-// each of them may need a connection to a runner too.
+// each of them may need a connection to a runner too; the 200 of HttpServer's over_limit_connections come out of that
+// half.
 std::size_t max_client_connections() {
   rlimit files{};
   if (::getrlimit(RLIMIT_NOFILE, &files) != 0) return 400;
@@ -186,7 +187,7 @@
 
 int Daemon::run() {
   logs::info("daemon",
-             "Serving callers at " + settings_.callers.text + " and operators at " + settings_.control.text + ".");
+             "Serving clients at " + settings_.callers.text + " and operators at " + settings_.control.text + ".");
   transport_->start();
   for (Worker* worker : workers_) worker->loop.start();
   sessions_worker_.loop.offer([this] { sessions_->start(); });
@@ -248,8 +249,8 @@
     timer.expires_after(std::chrono::milliseconds(200));
     timer.async_wait([&](const boost::system::error_code&) { update(); });
   };
-  // The daemon ends when no request is open. They are counted on the router's thread at that moment, so that no request
-  // can arrive between the count and the end.
+  // The daemon ends when no request is open. Open requests are counted on the router's thread at that moment, so that
+  // no request can arrive between the count and the end.
   check_drain_ = [&] {
     update();
   };
--- a/source/host/http_server.cpp
+++ b/source/host/http_server.cpp
@@ -424,15 +424,15 @@
        routed_ = false;
 };
 
-HttpServer::HttpServer(boost::asio::io_context& context, Router& router, ControlHandler control,
+HttpServer::HttpServer(boost::asio::io_context& context, Router& router, ControlHandler control_handler,
                        std::size_t max_connections, ControlRequestFilter is_control_request)
     : context_(context),
       router_(router),
-      control_handler_(std::move(control)),
+      control_handler_(std::move(control_handler)),
       max_connections_(max_connections),
       is_control_request_(std::move(is_control_request)),
       deadlines_(context, [this](std::uint64_t id) {
-        auto found = connections_.find(number);
+        auto found = connections_.find(id);
         if (found == connections_.end()) return;
         if (auto connection = found->second.lock()) connection->on_deadline();
       }) {}
@@ -509,7 +509,7 @@
 
 std::vector<std::shared_ptr<HttpServer::Connection>> HttpServer::connections() const {
   std::vector<std::shared_ptr<Connection>> all;
-  for (const auto& [number, connection] : connections_)
+  for (const auto& [id, connection] : connections_)
     if (auto locked = connection.lock()) all.push_back(std::move(locked));
   return all;
 }
--- a/source/host/http_server.hpp
+++ b/source/host/http_server.hpp
@@ -28,8 +28,8 @@
   // Returns whether a request from a client goes to the control handler instead of the router.
   using ControlRequestFilter =
       std::function<bool(StringView method, StringView target, const std::vector<Header>& headers)>;
-  HttpServer(boost::asio::io_context& context, Router& router, ControlHandler control, std::size_t max_connections,
-             ControlRequestFilter is_control_request = {});
+  HttpServer(boost::asio::io_context& context, Router& router, ControlHandler control_handler,
+             std::size_t max_connections, ControlRequestFilter is_control_request = {});
   ~HttpServer();
   // Starts to listen. `client_side` says whether this address serves clients; at any other address all requests go to
   // the control handler.
