--- a/source/host/beast_runner_client.cpp
+++ b/source/host/beast_runner_client.cpp
@@ -184,18 +184,18 @@
 // nothing. If the suspension fell between the check and the end of the write, the runner may have started on the
 // request; the connection is then reset at once.
 void BeastRunnerClient::start_write(const ConnectionPointer& connection) {
-  auto later = [this, connection, attempt_id = connection->attempt_id](AttemptOutcome outcome) {
+  auto finish_later = [this, connection, attempt_id = connection->attempt_id](AttemptOutcome outcome) {
     boost::asio::post(context_, [this, connection, attempt_id, outcome] {
       if (connection->attempt_id == attempt_id) finish(connection, outcome);
     });
   };
-  if (decision_expired(*connection)) return later(AttemptOutcome::not_sent);
+  if (decision_expired(*connection)) return finish_later(AttemptOutcome::not_sent);
   write(connection);
   if (connection->bytes_sent == 0 || !decision_expired(*connection)) return;
   boost::system::error_code ignored;
   connection->socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
   connection->socket.close(ignored);
-  later(AttemptOutcome::broken);
+  finish_later(AttemptOutcome::broken);
 }
 
 void BeastRunnerClient::write(const ConnectionPointer& connection) {
@@ -272,8 +272,8 @@
   }
   if (!reader.body.empty()) {
     connection->body_received = true;
-    const Bytes piece = std::exchange(reader.body, {});
-    observer->on_chunk(piece);
+    const Bytes chunk = std::exchange(reader.body, {});
+    observer->on_chunk(chunk);
     if (!still_current()) return;
   }
   if (error || (connection->input_size == connection->input.size() && consumed == 0))
@@ -347,8 +347,9 @@
   observer->on_end(outcome);
 }
 
-void BeastRunnerClient::close(const ConnectionPointer& given) {
-  const ConnectionPointer connection = request;
+void BeastRunnerClient::close(const ConnectionPointer& to_close) {
+  // Copied, because the reference may be to an element of a container that this function changes.
+  const ConnectionPointer connection = to_close;
   if (connection->closed) return;
   connection->closed = true;
   connection->observer.reset();
--- a/source/host/event_loop.cpp
+++ b/source/host/event_loop.cpp
@@ -57,7 +57,7 @@
     boost::asio::post(context_, [this] {
       std::vector<Task> tasks;
       queue_.drain(tasks);
-      for (auto& each : tasks) each();
+      for (auto& queued_task : tasks) queued_task();
     });
   return true;
 }
--- a/source/host/http_server.cpp
+++ b/source/host/http_server.cpp
@@ -20,7 +20,10 @@
 namespace {
 // Connections beyond the limit that are still accepted, so that their clients get a 503 response with Retry-After.
 constexpr std::size_t over_limit_connections = 200;
+// The input buffer has the small size between requests. It grows to the large size for a request body and for pipelined
+// requests. An output buffer above the kept size is freed when it is empty.
 constexpr std::size_t small_input_bytes = 4096, large_input_bytes = 32768, max_kept_output_bytes = 16384;
+// How much longer than announced a connection stays open, and how long unread input is discarded before a close.
 constexpr Duration close_grace = std::chrono::seconds(1);
 
 bool is_lot_request(StringView, StringView target, const std::vector<Header>&) {
--- a/source/host/main.cpp
+++ b/source/host/main.cpp
@@ -24,7 +24,7 @@
   }
   if (command_line.help) return std::cout << daemon_help(), 0;
   if (command_line.version) return std::cout << "mothwalk-daemon " MOTHWALK_VERSION "\n", 0;
-  if (command_line.check) return std::cout << "The settings are good.\n", 0;
+  if (command_line.check) return std::cout << "The settings are valid.\n", 0;
   std::signal(SIGPIPE, SIG_IGN);
   logs::start(command_line.settings.log_level, command_line.settings.log_file);
   Daemon daemon(command_line.settings, MOTHWALK_VERSION, std::move(platform));
--- a/source/host/platform_adapter.hpp
+++ b/source/host/platform_adapter.hpp
@@ -28,6 +28,7 @@
   virtual const ConfigurationFormat& format() const = 0;
   // The source of the list of runners, or null if this daemon cannot reach one.
   virtual std::unique_ptr<ListSource> list_source() const = 0;
+  // Creates the platform's HTTP API.
   virtual std::unique_ptr<PlatformApi> surface(Messenger& messenger, SharedState& shared_state, RandomSource& random,
                                                const Member& self) = 0;
 };
--- a/source/interfaces/dialect.hpp
+++ b/source/interfaces/dialect.hpp
@@ -17,7 +17,7 @@
 // What a client's headers say about a request. Fields that the client does not state stay empty.
 struct RequestInfo {
   std::string host;                         // The host name in lower case, without a port.
-  std::string id;                           // The client's identity for this try.
+  std::string id;                           // The id that the client gave to this try of the request.
   std::optional<Duration> budget;           // How long the client waits for the response.
   std::optional<std::uint64_t> last_event;  // The event after which a stream is to resume.
   std::string model;
