--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -178,7 +178,7 @@
                                             {"bytes_out", wire.bytes_out.load()},
                                             {"frames_in", wire.frames_in.load()},
                                             {"bytes_in", wire.bytes_in.load()},
-                                            {"foreign", wire.foreign.load()}}},
+                                            {"foreign", wire.invalid_frames.load()}}},
                       {"store", json::object{{"appends", store_appends_.load()},
                                              {"commits", commits_.load()},
                                              {"counts", to_json(store_counts_)}}},
--- a/source/host/tcp_transport.cpp
+++ b/source/host/tcp_transport.cpp
@@ -90,7 +90,7 @@
         if (error) return;
         const auto frame_size = frame_length(StringView(incoming->head.data(), incoming->head.size()));
         if (!frame_size) {
-          ++counts_.foreign;
+          ++counts_.invalid_frames;
           return log_("A peer sent a frame header with an invalid length; the connection is closed.");
         }
         const std::size_t length = *frame_size;
@@ -110,7 +110,7 @@
                 if (incoming->body.size() < length) return (*read_next)();
                 auto envelope = from_cbor<Envelope>(incoming->body);
                 if (!envelope) {
-                  ++counts_.foreign;
+                  ++counts_.invalid_frames;
                   return log_("A peer sent a frame that is not a valid envelope; the connection is closed.");
                 }
                 ++counts_.frames_in;
--- a/source/host/tcp_transport.hpp
+++ b/source/host/tcp_transport.hpp
@@ -8,9 +8,9 @@
 
 namespace mothwalk {
 
-// Counts of frames and bytes, and of received frames that are not valid (`foreign`).
+// Counts of frames and bytes, and of received frames that are not valid.
 struct WireCounts {
-  std::atomic<std::uint64_t> frames_out{0}, bytes_out{0}, frames_in{0}, bytes_in{0}, foreign{0};
+  std::atomic<std::uint64_t> frames_out{0}, bytes_out{0}, frames_in{0}, bytes_in{0}, invalid_frames{0};
 };
 
 // The daemon's Transport. Sending is possible from any thread.
