--- a/source/simulate/control_scenarios.cpp
+++ b/source/simulate/control_scenarios.cpp
@@ -1,6 +1,7 @@
-// Control daemons that are cut off, and what every daemon in touch with a majority owes meanwhile: it never serves
-// statically, holds a lease, leaves a home without a majority, takes each change within 2 s and sends nothing to an
-// evacuated zone after 5 s. The control daemon that is cut off confirms no order and shows no old resource.
+// Control daemons are cut off from the network. Meanwhile every daemon that can reach a majority of them has to hold a
+// lease and not serve by its last known configuration alone, leave a session server without a majority, apply each
+// change within 2 s, and send nothing to an evacuated zone after 5 s. A control daemon that is cut off must not confirm
+// a change or show an outdated resource.
 #include "simulate/control_scenarios.hpp"
 
 #include <algorithm>
@@ -12,118 +13,124 @@
 
 namespace {
 
-constexpr Duration watch_interval = milliseconds(20);
-constexpr Duration settle_span = milliseconds(1500);   // after a start or a heal, before freshness is owed
-constexpr Duration change_bound = milliseconds(2000);  // from an acknowledgement to its effect
+constexpr Duration check_interval = milliseconds(20);
+// The time that a daemon has to become up to date after a start or a repair of the network.
+constexpr Duration settle_time = milliseconds(1500);
+constexpr Duration change_bound = milliseconds(2000);  // The limit from the acknowledgement of a change to its effect.
 constexpr Duration evacuation_bound = milliseconds(5000);
-constexpr Duration evacuation_length = seconds(9);
-constexpr Duration lapse_bound = milliseconds(500);  // the longest time without a lease
-constexpr Duration order_bound = seconds(12);        // from an order's first sending to its acknowledgement
+constexpr Duration evacuation_duration = seconds(9);
+// The longest time that a daemon may be without a lease.
+constexpr Duration max_time_without_lease = milliseconds(500);
+// The limit from the first attempt at a change to its acknowledgement.
+constexpr Duration acknowledgement_bound = seconds(12);
 constexpr Duration cut_start = seconds(4);
-constexpr Duration cut_length = seconds(12);
+constexpr Duration cut_duration = seconds(12);
 
-enum class Reach { control_daemons, other_zones_too, everything };
-enum class Direction { both, outgoing, incoming };
+// From which machines a control daemon is cut off, and in which direction messages are lost.
+enum class CutScope { control_daemons, other_zones_also, all_machines };
+enum class CutDirection { both, outgoing, incoming };
 
 bool keeps_control(const Machine& machine) {
   return machine.has_disk && machine.serves();
 }
 
-// One run's cuts, orders and observations. It lives as long as an event of the run refers to it.
-class ControlCut : public std::enable_shared_from_this<ControlCut> {
+// Schedules the cuts and configuration changes of one run and checks the rules. The scheduled events own it.
+class ControlCutRun : public std::enable_shared_from_this<ControlCutRun> {
  public:
-  explicit ControlCut(SimulatedCluster& cluster) : cluster_(cluster), world_(cluster.world) {}
+  explicit ControlCutRun(SimulatedCluster& cluster) : cluster_(cluster), world_(cluster.world) {}
 
-  void start() { watch(); }
+  void start() { check_periodically(); }
 
-  Machine& pick_control_daemon(const Machine* but = nullptr) {
+  Machine& pick_control_daemon(const Machine* excluded = nullptr) {
     std::vector<Machine*> list;
     for (auto& machine : cluster_.machines)
-      if (keeps_control(*machine) && machine->alive() && machine.get() != but) list.push_back(machine.get());
+      if (keeps_control(*machine) && machine->alive() && machine.get() != excluded) list.push_back(machine.get());
     return *list[world_.random.below(list.size())];
   }
 
-  void cut(Machine& victim, Reach reach, Direction direction) {
-    world_.history(victim.name + " is cut off from the other control daemons");
-    victim.cut_off();
+  void cut_off(Machine& victim, CutScope scope, CutDirection direction) {
+    world_.log_event(victim.name + " is cut off from the other control daemons");
+    victim.mark_cut_off();
     victims_[&victim] = world_.now();
     for (auto& other : cluster_.machines) {
-      const bool meant = reach == Reach::everything || keeps_control(*other) ||
-                         (reach == Reach::other_zones_too && other->zone != victim.zone);
-      if (other.get() == &victim || !meant) continue;
-      if (direction != Direction::incoming) world_.cut(victim.name, other->name);
-      if (direction != Direction::outgoing) world_.cut(other->name, victim.name);
+      const bool affected = scope == CutScope::all_machines || keeps_control(*other) ||
+                            (scope == CutScope::other_zones_also && other->zone != victim.zone);
+      if (other.get() == &victim || !affected) continue;
+      if (direction != CutDirection::incoming) world_.cut(victim.name, other->name);
+      if (direction != CutDirection::outgoing) world_.cut(other->name, victim.name);
     }
   }
 
-  void heal() {
-    world_.history("the network is mended");
+  void heal_network() {
+    world_.log_event("the network is mended");
     world_.mend();
-    for (auto& [victim, since] : victims_) victim->joined();
+    for (auto& [victim, since] : victims_) victim->mark_reconnected();
     victims_.clear();
   }
 
-  void cut_for(Duration start, Duration length, Reach reach, Direction direction, Machine& victim) {
+  void schedule_cut(Duration start, Duration length, CutScope scope, CutDirection direction, Machine& victim) {
     auto self = shared_from_this();
-    world_.after(start, [self, reach, direction, &victim] { self->cut(victim, reach, direction); });
-    world_.after(start + length, [self] { self->heal(); });
+    world_.after(start, [self, scope, direction, &victim] { self->cut_off(victim, scope, direction); });
+    world_.after(start + length, [self] { self->heal_network(); });
   }
 
-  // Changes of each kind while a cut lasts, and one as it heals.
-  void change_during(Duration start, Duration length) {
+  // Schedules changes of each kind during a cut, and one 50 ms before the network is repaired.
+  void schedule_changes(Duration start, Duration length) {
     auto self = shared_from_this();
-    order("lane/dropped", R"({"path":"/dropped","kind":"model"})");
+    change_resource("lane/dropped", R"({"path":"/dropped","kind":"model"})");
     const std::string zone = cluster_.machines[world_.random.below(cluster_.machines.size())]->zone;
-    world_.after(start + random_part(seconds(4)), [self, zone] { self->evacuate(zone); });
-    world_.after(start + random_part(length), [self] { self->drop_lane("dropped"); });
+    world_.after(start + random_duration(seconds(4)), [self, zone] { self->evacuate(zone); });
+    world_.after(start + random_duration(length), [self] { self->delete_lane("dropped"); });
     for (int number = 0; number < 3; ++number)
-      world_.after(start + random_part(length), [self, number] {
-        self->order("lane/extra", R"({"path":"/extra","kind":"model","retries":)" + std::to_string(number) + "}");
+      world_.after(start + random_duration(length), [self, number] {
+        self->change_resource("lane/extra",
+                              R"({"path":"/extra","kind":"model","retries":)" + std::to_string(number) + "}");
       });
     world_.after(start + length - milliseconds(50),
-                 [self] { self->order("lane/at-heal", R"({"path":"/at-heal","kind":"model"})"); });
+                 [self] { self->change_resource("lane/at-heal", R"({"path":"/at-heal","kind":"model"})"); });
   }
 
-  // The control daemon that is cut off is asked as well: it may neither confirm nor show what is old.
-  void ask_victims(Duration start, Duration length) {
+  // Sends reads and writes to the control daemons that are cut off. They must not confirm a write or show an outdated
+  // resource.
+  void query_victims(Duration start, Duration length) {
     auto self = shared_from_this();
     for (Duration at = start + seconds(2); at < start + length - seconds(1); at += milliseconds(700))
       world_.after(at, [self] {
         for (auto& [victim, since] : self->victims_) {
-          self->show_at(*victim);
-          self->write_at(*victim);
+          self->check_read_at(*victim);
+          self->check_write_at(*victim);
         }
       });
   }
 
  private:
-  Duration random_part(Duration length) {
+  Duration random_duration(Duration length) {
     return Duration(static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(length.count()))));
   }
 
-  void report(const std::string& what) {
-    if (reported_.insert(what).second)
+  void report_violation(const std::string& what) {
+    if (reported_violations_.insert(what).second)
       cluster_.broken.push_back(what + ", first at " + std::to_string(world_.milliseconds()) + " ms");
   }
 
-  void order(
+  void change_resource(
       const std::string& key, const std::string& document, std::function<void(Stamp)> then = [](Stamp) {}) {
     auto done = std::make_shared<bool>(false);
     cluster_.operator_change(key, document, [done, then](Stamp stamp) {
       *done = true;
       then(stamp);
     });
-    world_.after(order_bound, [self = shared_from_this(), done, key] {
-      if (!*done) self->report("an order was not acknowledged in time: " + key);
+    world_.after(acknowledgement_bound, [self = shared_from_this(), done, key] {
+      if (!*done) self->report_violation("an order was not acknowledged in time: " + key);
     });
   }
 
   void evacuate(const std::string& zone) {
-    order("zone/" + zone, R"({"evacuated":true})", [self = shared_from_this(), zone](Stamp) {
+    change_resource("zone/" + zone, R"({"evacuated":true})", [self = shared_from_this(), zone](Stamp) {
       const std::int64_t acknowledged = self->world_.milliseconds();
-      self->world_.after(evacuation_length, [self, zone, acknowledged] {
+      self->world_.after(evacuation_duration, [self, zone, acknowledged] {
         self->check_evacuated(zone, acknowledged);
-        self->order("zone/" + zone, R"({"evacuated":false})");
+        self->change_resource("zone/" + zone, R"({"evacuated":false})");
       });
     });
   }
@@ -134,32 +141,32 @@
       if (runner->zone == zone) runners.insert(runner->name);
     for (const auto& line : world_.ledger()) {
       if (line.at("what") != "run" || !runners.contains(std::string(line.at("runner").as_string()))) continue;
-      const std::string by(line.at("by").as_string());
+      const std::string sender(line.at("by").as_string());
       const std::int64_t late = line.at("at").to_number<std::int64_t>() - acknowledged;
-      if (Duration(milliseconds(late)) > evacuation_bound && !ever_cut_.contains(by))
-        report(by + " sent work to an evacuated zone");
+      if (Duration(milliseconds(late)) > evacuation_bound && !ever_cut_off_.contains(sender))
+        report_violation(sender + " sent work to an evacuated zone");
     }
   }
 
-  void drop_lane(const std::string& name) {
-    // Who starts from now on may never see the lane.
+  void delete_lane(const std::string& name) {
+    // A machine that starts from now on may never see the lane, so it is not required to have it.
     std::erase_if(cluster_.acknowledged, [&](const auto& change) { return change.key == "lane/" + name; });
     const std::string path = "/v1/resources/lane/" + name;
     Machine& machine = cluster_.any_alive();
     auto self = shared_from_this();
-    auto again = [self, name] {
-      self->world_.after(milliseconds(200), [self, name] { self->drop_lane(name); });
+    auto retry = [self, name] {
+      self->world_.after(milliseconds(200), [self, name] { self->delete_lane(name); });
     };
     cluster_.control(
-        machine, "GET", path, "", [self, &machine, path, name, again](int status, const std::string& text) {
-          if (status == 404) return self->dropped_.emplace_back(name, self->world_.now()), void();
-          if (status != 200) return again();
+        machine, "GET", path, "", [self, &machine, path, name, retry](int status, const std::string& text) {
+          if (status == 404) return self->deleted_lanes_.emplace_back(name, self->world_.now()), void();
+          if (status != 200) return retry();
           const auto version = std::get<json::value>(parse_json(text)).at("version").to_number<std::uint64_t>();
           self->cluster_.control(machine, "DELETE", path + "?version=" + std::to_string(version), "",
-                                 [self, name, again](int status, const std::string&) {
-                                   if (status != 200) return again();
-                                   self->world_.history("acknowledged: lane/" + name + " is dropped");
-                                   self->dropped_.emplace_back(name, self->world_.now());
+                                 [self, name, retry](int status, const std::string&) {
+                                   if (status != 200) return retry();
+                                   self->world_.log_event("acknowledged: lane/" + name + " is dropped");
+                                   self->deleted_lanes_.emplace_back(name, self->world_.now());
                                  });
         });
   }
@@ -171,98 +178,99 @@
     return version;
   }
 
-  void show_at(Machine& victim) {
+  void check_read_at(Machine& victim) {
     const std::string key = "lane/extra";
-    const Version known = newest(key);
+    const Version acknowledged_version = newest(key);
     cluster_.control(victim, "GET", "/v1/resources/" + key, "",
-                     [self = shared_from_this(), known](int status, const std::string& text) {
+                     [self = shared_from_this(), acknowledged_version](int status, const std::string& text) {
                        if (status != 200) return;
                        const auto shown =
                            std::get<json::value>(parse_json(text)).at("version").to_number<std::uint64_t>();
-                       if (shown < known.value) self->report("an old resource was shown");
+                       if (shown < acknowledged_version.value) self->report_violation("an old resource was shown");
                      });
   }
 
-  void write_at(Machine& victim) {
-    const TimePoint asked = world_.now();
-    const std::string key = "lane/lonely-" + std::to_string(++lonely_);
+  void check_write_at(Machine& victim) {
+    const TimePoint sent_at = world_.now();
+    const std::string key = "lane/lonely-" + std::to_string(++write_number_);
     cluster_.control(victim, "PUT", "/v1/resources/" + key + "?version=0", R"({"path":"/lonely","kind":"model"})",
-                     [self = shared_from_this(), &victim, asked](int status, const std::string&) {
-                       auto cut = self->victims_.find(&victim);
-                       const bool whole_time = cut != self->victims_.end() && cut->second <= asked;
-                       if (status == 200 && whole_time) self->report("an order was confirmed without a majority");
+                     [self = shared_from_this(), &victim, sent_at](int status, const std::string&) {
+                       auto found = self->victims_.find(&victim);
+                       const bool cut_throughout = found != self->victims_.end() && found->second <= sent_at;
+                       if (status == 200 && cut_throughout)
+                         self->report_violation("an order was confirmed without a majority");
                      });
   }
 
-  // Whether the machine was left alone for that long.
-  bool in_touch_for(const Machine& machine, Duration span) const {
+  // Whether the machine is alive and has not been disturbed for the given time.
+  bool undisturbed_for(const Machine& machine, Duration span) const {
     return machine.alive() && !machine.frozen() && world_.now() - machine.undisturbed_since > span;
   }
 
-  void watch() {
-    for (auto& [victim, since] : victims_) ever_cut_.insert(victim->name);
+  void check_periodically() {
+    for (auto& [victim, since] : victims_) ever_cut_off_.insert(victim->name);
     for (auto& machine : cluster_.machines) check(*machine);
-    world_.after(watch_interval, [self = shared_from_this()] { self->watch(); });
+    world_.after(check_interval, [self = shared_from_this()] { self->check_periodically(); });
   }
 
   void check(Machine& machine) {
     const TimePoint now = world_.now();
     SharedState& state = machine.shared_state();
-    if (!in_touch_for(machine, settle_span)) return void(lapsed_.erase(&machine));
+    if (!undisturbed_for(machine, settle_time)) return void(lease_missing_since_.erase(&machine));
     if (!state.has_lease(now) && state.may_serve_requests(now))
-      report(machine.name + " serves statically though in touch");
+      report_violation(machine.name + " serves statically though in touch");
     if (state.has_lease(now))
-      lapsed_.erase(&machine);
-    else if (now - lapsed_.try_emplace(&machine, now).first->second > lapse_bound)
-      report(machine.name + " finds no lease though in touch");
+      lease_missing_since_.erase(&machine);
+    else if (now - lease_missing_since_.try_emplace(&machine, now).first->second > max_time_without_lease)
+      report_violation(machine.name + " finds no lease though in touch");
     for (const auto& [victim, since] : victims_)
       if (state.members.get()->session_server == victim->address && now - since > change_bound)
-        report(machine.name + " keeps a home without a majority");
-    for (const auto& [lane, when] : dropped_)
+        report_violation(machine.name + " keeps a home without a majority");
+    for (const auto& [lane, when] : deleted_lanes_)
       if (now - std::max(when, machine.undisturbed_since) > change_bound &&
           state.configuration.get()->lanes.contains(lane))
-        report(machine.name + " knows a dropped lane");
+        report_violation(machine.name + " knows a dropped lane");
   }
 
   SimulatedCluster& cluster_;
   World& world_;
-  std::map<Machine*, TimePoint> victims_;  // cut off at present, and since when
-  std::set<std::string> ever_cut_;
-  std::map<Machine*, TimePoint> lapsed_;
-  std::vector<std::pair<std::string, TimePoint>> dropped_;
-  std::set<std::string> reported_;
-  int lonely_ = 0;
+  std::map<Machine*, TimePoint> victims_;  // The machines that are cut off now, and since when.
+  std::set<std::string> ever_cut_off_;
+  std::map<Machine*, TimePoint> lease_missing_since_;
+  std::vector<std::pair<std::string, TimePoint>> deleted_lanes_;
+  std::set<std::string> reported_violations_;
+  int write_number_ = 0;
 };
 
-std::shared_ptr<ControlCut> begin(SimulatedCluster& cluster) {
-  auto cut = std::make_shared<ControlCut>(cluster);
+std::shared_ptr<ControlCutRun> start_run(SimulatedCluster& cluster) {
+  auto cut = std::make_shared<ControlCutRun>(cluster);
   cut->start();
   return cut;
 }
 
-void cut_once(SimulatedCluster& cluster, Reach reach, Direction direction) {
-  auto run = begin(cluster);
-  run->cut_for(cut_start, cut_length, reach, direction, run->pick_control_daemon());
-  run->change_during(cut_start, cut_length);
-  run->ask_victims(cut_start, cut_length);
+void cut_once(SimulatedCluster& cluster, CutScope scope, CutDirection direction) {
+  auto run = start_run(cluster);
+  run->schedule_cut(cut_start, cut_duration, scope, direction, run->pick_control_daemon());
+  run->schedule_changes(cut_start, cut_duration);
+  run->query_victims(cut_start, cut_duration);
 }
 
-void cut_two_in_turn(SimulatedCluster& cluster) {
-  auto run = begin(cluster);
+void cut_two_one_after_the_other(SimulatedCluster& cluster) {
+  auto run = start_run(cluster);
   Machine& first = run->pick_control_daemon();
   Machine& second = run->pick_control_daemon(&first);
-  const Duration half = cut_length / 2;
-  run->cut_for(cut_start, half, Reach::other_zones_too, Direction::both, first);
-  run->cut_for(cut_start + half + milliseconds(100), half, Reach::other_zones_too, Direction::both, second);
-  run->change_during(cut_start, cut_length);
-  run->ask_victims(cut_start, half);
+  const Duration half = cut_duration / 2;
+  run->schedule_cut(cut_start, half, CutScope::other_zones_also, CutDirection::both, first);
+  run->schedule_cut(cut_start + half + milliseconds(100), half, CutScope::other_zones_also, CutDirection::both, second);
+  run->schedule_changes(cut_start, cut_duration);
+  run->query_victims(cut_start, half);
 }
 
 void cut_with_seeds(SimulatedCluster& cluster) {
-  auto run = begin(cluster);
+  auto run = start_run(cluster);
   Machine& victim = run->pick_control_daemon();
-  run->cut_for(cut_start, cut_length, Reach::other_zones_too, Direction::both, victim);
-  run->change_during(cut_start, cut_length);
+  run->schedule_cut(cut_start, cut_duration, CutScope::other_zones_also, CutDirection::both, victim);
+  run->schedule_changes(cut_start, cut_duration);
   std::erase(cluster.seeds, victim.address);
   cluster.seeds.insert(cluster.seeds.begin(), victim.address);
   cluster.seeds.resize(2);
@@ -275,51 +283,52 @@
   });
 }
 
-void cut_and_heal_often(SimulatedCluster& cluster) {
+void cut_repeatedly(SimulatedCluster& cluster) {
   constexpr int times = 8;
   constexpr Duration turn = milliseconds(1500), length = milliseconds(900);
-  auto run = begin(cluster);
+  auto run = start_run(cluster);
   Machine& victim = run->pick_control_daemon();
   for (int number = 0; number < times; ++number)
-    run->cut_for(cut_start + turn * number, length, Reach::other_zones_too, Direction::both, victim);
-  run->change_during(cut_start, cut_length);
+    run->schedule_cut(cut_start + turn * number, length, CutScope::other_zones_also, CutDirection::both, victim);
+  run->schedule_changes(cut_start, cut_duration);
 }
 
-void freeze_homes(SimulatedCluster& cluster) {
-  auto run = begin(cluster);
+void freeze_session_server(SimulatedCluster& cluster) {
+  auto run = start_run(cluster);
   Machine& victim = run->pick_control_daemon();
   for (int number = 0; number < 3; ++number) {
     cluster.world.after(cut_start + seconds(4) * number, [&victim] { victim.freeze(); });
     cluster.world.after(cut_start + seconds(4) * number + milliseconds(2500), [&victim] { victim.wake(); });
   }
-  run->change_during(cut_start, cut_length);
+  run->schedule_changes(cut_start, cut_duration);
 }
 
 }  // namespace
 
 std::vector<Scenario> control_scenarios() {
   const Duration load = seconds(24), settle = seconds(35);
-  // What a machine that is cut off has learned of its items is listed when the cut is over.
-  const Limits limits{std::chrono::duration_cast<milliseconds>(cut_length).count() + 2000, 80};
+  // Results that a machine received while it was cut off are listed after the cut, so the limit exceeds its duration.
+  const Limits limits{std::chrono::duration_cast<milliseconds>(cut_duration).count() + 2000, 80};
   std::vector<Scenario> list;
-  auto add = [&](std::string name, std::string about, std::function<void(SimulatedCluster&)> faults) {
-    list.push_back(Scenario{std::move(name), std::move(about), std::move(faults), load, settle, limits});
+  auto add = [&](std::string name, std::string description, std::function<void(SimulatedCluster&)> faults) {
+    list.push_back(Scenario{std::move(name), std::move(description), std::move(faults), load, settle, limits});
   };
-  add("control-cut", "a control daemon is cut from the other control daemons alone, with changes meanwhile",
-      [](SimulatedCluster& cluster) { cut_once(cluster, Reach::control_daemons, Direction::both); });
-  add("control-cut-near", "a control daemon is cut from the others and from all machines of other zones",
-      [](SimulatedCluster& cluster) { cut_once(cluster, Reach::other_zones_too, Direction::both); });
-  add("control-cut-all", "a control daemon is cut from all machines",
-      [](SimulatedCluster& cluster) { cut_once(cluster, Reach::everything, Direction::both); });
-  add("control-cut-unheard", "the other control daemons do not hear a control daemon that hears them",
-      [](SimulatedCluster& cluster) { cut_once(cluster, Reach::control_daemons, Direction::outgoing); });
-  add("control-cut-deaf", "a control daemon does not hear the others, and they hear it",
-      [](SimulatedCluster& cluster) { cut_once(cluster, Reach::control_daemons, Direction::incoming); });
-  add("control-cut-in-turn", "two control daemons are cut off one right after the other", cut_two_in_turn);
-  add("control-cut-seeds", "new seeds begin with the one that is cut off, and daemons without disks restart",
+  add("control-cut", "a control daemon is cut off from the other control daemons only, during configuration changes",
+      [](SimulatedCluster& cluster) { cut_once(cluster, CutScope::control_daemons, CutDirection::both); });
+  add("control-cut-near", "a control daemon is cut off from the others and from all machines of other zones",
+      [](SimulatedCluster& cluster) { cut_once(cluster, CutScope::other_zones_also, CutDirection::both); });
+  add("control-cut-all", "a control daemon is cut off from all machines",
+      [](SimulatedCluster& cluster) { cut_once(cluster, CutScope::all_machines, CutDirection::both); });
+  add("control-cut-unheard", "the messages from one control daemon to the others are lost, but not those to it",
+      [](SimulatedCluster& cluster) { cut_once(cluster, CutScope::control_daemons, CutDirection::outgoing); });
+  add("control-cut-deaf", "the messages to one control daemon from the others are lost, but not those from it",
+      [](SimulatedCluster& cluster) { cut_once(cluster, CutScope::control_daemons, CutDirection::incoming); });
+  add("control-cut-in-turn", "two control daemons are cut off one right after the other", cut_two_one_after_the_other);
+  add("control-cut-seeds",
+      "the first seed address is that of a control daemon that is cut off, and daemons without disks restart",
       cut_with_seeds);
-  add("control-cut-flapping", "a control daemon is cut off and joined again eight times", cut_and_heal_often);
-  add("control-freeze", "a control daemon freezes and wakes three times", freeze_homes);
+  add("control-cut-flapping", "a control daemon is cut off and reconnected eight times", cut_repeatedly);
+  add("control-freeze", "a control daemon is suspended and resumed three times", freeze_session_server);
   return list;
 }
 
--- a/source/simulate/control_scenarios.hpp
+++ b/source/simulate/control_scenarios.hpp
@@ -1,4 +1,4 @@
-// Scenarios in which a control daemon loses its contact to the other control daemons while most daemons keep theirs.
+// Scenarios in which a control daemon can't reach the other control daemons, while most daemons still can.
 #pragma once
 #include "simulate/scenarios.hpp"
 
--- a/source/simulate/faults.cpp
+++ b/source/simulate/faults.cpp
@@ -1,4 +1,4 @@
-// Machines that die, freeze or are cut off, runners that misbehave, crowds.
+// Implements the faults of machines, networks and runners, and the bursts of requests.
 #include "simulate/faults.hpp"
 
 #include <algorithm>
@@ -14,10 +14,10 @@
   });
 }
 
-Machine& pick(SimulatedCluster& cluster, bool holder) {
+Machine& pick_machine(SimulatedCluster& cluster, bool with_disk) {
   std::vector<Machine*> list;
   for (auto& machine : cluster.machines)
-    if (machine->alive() && !machine->frozen() && machine->has_disk == holder) list.push_back(machine.get());
+    if (machine->alive() && !machine->frozen() && machine->has_disk == with_disk) list.push_back(machine.get());
   return list.empty() ? *cluster.machines[0] : *list[cluster.world.random.below(list.size())];
 }
 
@@ -29,10 +29,10 @@
 }
 
 Machine& owner_of(SimulatedCluster& cluster, const std::string& key) {
-  for (Machine* holder : cluster.holders())
-    if (holder->alive() && (holder->keeps.empty() || lot_key(key) != holder->serves()) &&
-        holder->shared_state().owned.get()->slots.contains(slot_of(key)))
-      return *holder;
+  for (Machine* node : cluster.holders())
+    if (node->alive() && (node->keeps.empty() || lot_key(key) != node->serves()) &&
+        node->shared_state().owned.get()->slots.contains(slot_of(key)))
+      return *node;
   return *cluster.holders()[0];
 }
 
@@ -42,11 +42,11 @@
                                       {"zone", runner.zone},
                                       {"slots", runner.slots},
                                       {"leaving", leaving},
-                                      {"generation", runner.life}});
+                                      {"generation", runner.incarnation}});
 }
 
-void cut_zone(SimulatedCluster& cluster, const std::string& zone, Duration length, bool both) {
-  cluster.world.history("zone " + zone + " is cut off" + (both ? "" : " one way"));
+void isolate_zone(SimulatedCluster& cluster, const std::string& zone, Duration length, bool both) {
+  cluster.world.log_event("zone " + zone + " is cut off" + (both ? "" : " one way"));
   std::set<std::string> zones;
   for (auto& machine : cluster.machines) zones.insert(machine->zone);
   for (const auto& other : zones) {
@@ -55,11 +55,11 @@
     if (both) cluster.world.cut(other, zone);
   }
   for (auto& machine : cluster.machines)
-    if (machine->zone == zone || !both) machine->cut_off();
+    if (machine->zone == zone || !both) machine->mark_cut_off();
   cluster.world.after(length, [&cluster] {
-    cluster.world.history("the network is mended");
+    cluster.world.log_event("the network is mended");
     cluster.world.mend();
-    for (auto& machine : cluster.machines) machine->joined();
+    for (auto& machine : cluster.machines) machine->mark_reconnected();
   });
 }
 
@@ -75,27 +75,27 @@
       [&cluster, key, wipe](Stamp) { kill_and_restart(cluster, owner_of(cluster, key), wipe); });
 }
 
-void every(SimulatedCluster& cluster, Duration gap, int times, std::function<void(int)> act) {
-  for (int turn = 0; turn < times; ++turn) cluster.world.after(gap * (turn + 1), [act, turn] { act(turn); });
+void schedule_repeatedly(SimulatedCluster& cluster, Duration gap, int times, std::function<void(int)> action) {
+  for (int turn = 0; turn < times; ++turn) cluster.world.after(gap * (turn + 1), [action, turn] { action(turn); });
 }
 
-void leaving(SimulatedCluster& cluster, RunnerModel& runner) {
+void announce_leaving(SimulatedCluster& cluster, RunnerModel& runner) {
   if (runner.leaving) return;
   runner.leaving = true;
   cluster.operator_change("runner/" + runner.name, runner_document(runner, true), [&cluster, &runner](Stamp) {
     const std::int64_t acknowledged = cluster.world.milliseconds();
     cluster.world.after(seconds(6), [&cluster, &runner, acknowledged] {
-      cluster.world.write({{"what", "leaving"},
-                           {"runners", json::array{json::value(json::string(runner.name))}},
-                           {"acknowledged", acknowledged},
-                           {"until", cluster.world.milliseconds()}});
+      cluster.world.write_ledger({{"what", "leaving"},
+                                  {"runners", json::array{json::value(json::string(runner.name))}},
+                                  {"acknowledged", acknowledged},
+                                  {"until", cluster.world.milliseconds()}});
       cluster.operator_change("runner/" + runner.name, runner_document(runner, false),
                               [&runner](Stamp) { runner.leaving = false; });
     });
   });
 }
 
-void evacuate(SimulatedCluster& cluster, const std::string& zone, std::function<void()> when_acknowledged) {
+void evacuate_zone(SimulatedCluster& cluster, const std::string& zone, std::function<void()> when_acknowledged) {
   cluster.operator_change("zone/" + zone, R"({"evacuated":true})", [&cluster, zone, when_acknowledged](Stamp) {
     const std::int64_t acknowledged = cluster.world.milliseconds();
     when_acknowledged();
@@ -103,122 +103,123 @@
       json::array names;
       for (auto& runner : cluster.runners)
         if (runner->zone == zone) names.push_back(json::value(json::string(runner->name)));
-      cluster.world.write({{"what", "evacuated"},
-                           {"runners", names},
-                           {"acknowledged", acknowledged},
-                           {"until", cluster.world.milliseconds()}});
+      cluster.world.write_ledger({{"what", "evacuated"},
+                                  {"runners", names},
+                                  {"acknowledged", acknowledged},
+                                  {"until", cluster.world.milliseconds()}});
       cluster.operator_change("zone/" + zone, R"({"evacuated":false})");
     });
   });
 }
 
-void total_loss(SimulatedCluster& cluster, bool one_away, bool one_empty) {
-  cluster.lost_totally = true;
-  Machine* odd = one_away || one_empty ? &pick(cluster, true) : nullptr;
-  for (auto& machine : cluster.machines) machine->kill(one_empty && machine.get() == odd);
+void total_loss(SimulatedCluster& cluster, bool one_stays_down, bool one_wiped) {
+  cluster.total_loss_injected = true;
+  Machine* singled_out = one_stays_down || one_wiped ? &pick_machine(cluster, true) : nullptr;
+  for (auto& machine : cluster.machines) machine->kill(one_wiped && machine.get() == singled_out);
   const TimePoint down = cluster.world.now();
   for (auto& machine : cluster.machines)
-    if (!one_away || machine.get() != odd)
+    if (!one_stays_down || machine.get() != singled_out)
       restart_later(cluster, *machine, milliseconds(200 + static_cast<std::int64_t>(cluster.world.random.below(500))));
-  auto watch = std::make_shared<std::function<void()>>();
-  std::weak_ptr<std::function<void()>> weak = watch;
-  Machine* const missed = one_away ? odd : nullptr;
-  *watch = [&cluster, down, weak, missed] {
+  auto check = std::make_shared<std::function<void()>>();
+  std::weak_ptr<std::function<void()>> weak = check;
+  Machine* const not_restarted = one_stays_down ? singled_out : nullptr;
+  *check = [&cluster, down, weak, not_restarted] {
     bool all = true;
     for (auto& machine : cluster.machines)
-      all = all && (machine.get() == missed || machine->alive()) &&
-            (machine.get() == missed || (machine->shared_state().has_lease(cluster.world.now()) &&
-                                         !machine->shared_state().configuration.get()->lanes.empty()));
+      all = all && (machine.get() == not_restarted || machine->alive()) &&
+            (machine.get() == not_restarted || (machine->shared_state().has_lease(cluster.world.now()) &&
+                                                !machine->shared_state().configuration.get()->lanes.empty()));
     if (all) {
       const std::int64_t took = (cluster.world.now() - down).count() / 1000;
-      cluster.world.write(
+      cluster.world.write_ledger(
           {{"what", "observed"}, {"name", "service back after a total loss"}, {"took", took}, {"limit", 12000}});
       return;
     }
     if (cluster.world.now() - down > seconds(30))
-      return cluster.world.write(
+      return cluster.world.write_ledger(
           {{"what", "observed"}, {"name", "service back after a total loss"}, {"took", 30000}, {"limit", 12000}});
     cluster.world.after(milliseconds(50), [self = weak.lock()] {
       if (self) (*self)();
     });
   };
-  cluster.world.after(milliseconds(50), [watch] { (*watch)(); });
+  cluster.world.after(milliseconds(50), [check] { (*check)(); });
 }
 
-void crowd(SimulatedCluster& cluster, double factor, Duration length) {
-  cluster.world.history("a crowd arrives");
+void increase_load(SimulatedCluster& cluster, double factor, Duration length) {
+  cluster.world.log_event("a crowd arrives");
   for (auto& load : cluster.shape.streams) load.rate *= factor;
   cluster.world.after(length, [&cluster, factor] {
-    cluster.world.history("the crowd is over");
+    cluster.world.log_event("the crowd is over");
     for (auto& load : cluster.shape.streams) load.rate /= factor;
   });
 }
 
-void crash_and_return(SimulatedCluster& cluster, RunnerModel& runner, Duration pause) {
+void crash_and_restart(SimulatedCluster& cluster, RunnerModel& runner, Duration pause) {
   cluster.crash_runner(runner);
-  cluster.world.after(pause, [&cluster, &runner] { cluster.return_runner(runner, seconds(2)); });
+  cluster.world.after(pause, [&cluster, &runner] { cluster.restart_runner(runner, seconds(2)); });
 }
 
-void bounce(SimulatedCluster& cluster, bool stated) {
+void restart_circle_member(SimulatedCluster& cluster, bool announced) {
   const auto configuration = cluster.any_alive().shared_state().configuration.get();
   const auto& circle = configuration->circles.at("model").spec;
   RunnerModel* runner = nullptr;
   for (auto& each : cluster.runners)
     if (each->kind == "model" && circle.bears(each->name, configuration->runners.at(each->name).spec.generation) &&
-        each->active >= (stated ? 0u : 1u) && (runner == nullptr || each->active < runner->active))
+        each->active >= (announced ? 0u : 1u) && (runner == nullptr || each->active < runner->active))
       runner = each.get();
-  if (runner == nullptr) return cluster.world.history("no runner fits");
+  if (runner == nullptr) return cluster.world.log_event("no runner fits");
   cluster.crash_runner(*runner);
   auto back = [&cluster, runner] {
-    // The ramp of 2 s has to cover the warming and the time that the statement took.
-    cluster.return_runner(*runner, milliseconds(1500));
-    crowd(cluster, 6, milliseconds(1500));
+    // The runner is cold for 1.5 s: its warm-up period of 2 s (the ramp) has to cover both that and the time until the
+    // restart was announced.
+    cluster.restart_runner(*runner, milliseconds(1500));
+    increase_load(cluster, 6, milliseconds(1500));
   };
-  if (stated)
+  if (announced)
     cluster.operator_change("runner/" + runner->name, runner_document(*runner, runner->leaving),
                             [&cluster, back](Stamp) { cluster.world.after(milliseconds(200), back); });
   else
     cluster.world.after(milliseconds(700), back);
 }
 
-void misbehave(SimulatedCluster& cluster, RunnerModel& runner, const std::string& mode, Duration length) {
-  cluster.world.history(runner.name + " turns " + mode);
+void set_runner_mode(SimulatedCluster& cluster, RunnerModel& runner, const std::string& mode, Duration length) {
+  cluster.world.log_event(runner.name + " turns " + mode);
   runner.mode = mode;
   cluster.world.after(length, [&cluster, &runner] {
-    cluster.world.history(runner.name + " is sound again");
+    cluster.world.log_event(runner.name + " is sound again");
     runner.mode = "sound";
   });
 }
 
-void freeze(SimulatedCluster& cluster, Machine& machine, Duration length) {
+void freeze_for(SimulatedCluster& cluster, Machine& machine, Duration length) {
   machine.freeze();
   cluster.world.after(length, [&machine] { machine.wake(); });
 }
 
-void random_fault(SimulatedCluster& cluster) {
+void inject_random_fault(SimulatedCluster& cluster) {
   switch (cluster.world.random.below(12)) {
     case 0:
-      return kill_and_restart(cluster, pick(cluster, true), false);
+      return kill_and_restart(cluster, pick_machine(cluster, true), false);
     case 1:
-      return kill_and_restart(cluster, pick(cluster, false), false);
+      return kill_and_restart(cluster, pick_machine(cluster, false), false);
     case 2:
-      return freeze(cluster, pick(cluster, cluster.world.random.below(2) == 0), seconds(3));
+      return freeze_for(cluster, pick_machine(cluster, cluster.world.random.below(2) == 0), seconds(3));
     case 3:
-      return crash_and_return(cluster, pick_runner(cluster, "model"), seconds(2));
+      return crash_and_restart(cluster, pick_runner(cluster, "model"), seconds(2));
     case 4:
-      return misbehave(cluster, pick_runner(cluster, "model"), "truncate", seconds(3));
+      return set_runner_mode(cluster, pick_runner(cluster, "model"), "truncate", seconds(3));
     case 5:
-      return misbehave(cluster, pick_runner(cluster, "model"), "dark", seconds(3));
+      return set_runner_mode(cluster, pick_runner(cluster, "model"), "dark", seconds(3));
     case 6:
-      return misbehave(cluster, pick_runner(cluster, "model"), "slow", seconds(3));
+      return set_runner_mode(cluster, pick_runner(cluster, "model"), "slow", seconds(3));
     case 7:
       return change_then_kill(cluster, false);
     case 8:
-      return leaving(cluster, pick_runner(cluster, "model"));
+      return announce_leaving(cluster, pick_runner(cluster, "model"));
     case 9:
-      return misbehave(cluster, pick_runner(cluster, "model"), "nonsense", seconds(2));
+      return set_runner_mode(cluster, pick_runner(cluster, "model"), "nonsense", seconds(2));
     case 10: {
-      Machine& machine = pick(cluster, true);
+      Machine& machine = pick_machine(cluster, true);
       machine.disk().stalled = true;
       cluster.world.after(seconds(3), [&machine] { machine.disk().stalled = false; });
       return;
--- a/source/simulate/history_scenarios.cpp
+++ b/source/simulate/history_scenarios.cpp
@@ -1,4 +1,4 @@
-// A long history of changes, and what must hold of a holder that comes back after it.
+// A long sequence of configuration changes, and the checks on a storage node that returns after it.
 #include "simulate/history_scenarios.hpp"
 
 #include <algorithm>
@@ -10,83 +10,88 @@
 
 namespace {
 
-constexpr int routes = 120, changes = 500;
-constexpr Duration catch_up_bound = milliseconds(2000);  // after a holder is in touch again
-constexpr Duration start_bound = milliseconds(6000);     // for a start until it serves
-constexpr int writers = 4;                               // operators that change routes at the same time
+// The changes are spread over the lanes in turn.
+constexpr int lane_count = 120, change_count = 500;
+// The limit for a storage node to catch up once it holds a lease again.
+constexpr Duration catch_up_bound = milliseconds(2000);
+// The limit from the start of a storage node until it holds a lease.
+constexpr Duration start_bound = milliseconds(6000);
+constexpr int operator_count = 4;  // The number of operators that change lanes concurrently.
 
-// Makes the changes, each operator the next one once its last is acknowledged, and remembers the newest of each key.
+// Makes the changes and records the newest acknowledged stamp of each key. Each operator starts its next change when
+// its previous one is acknowledged.
 class ChangeHistory : public std::enable_shared_from_this<ChangeHistory> {
  public:
   explicit ChangeHistory(SimulatedCluster& cluster) : cluster_(cluster) {}
 
-  void begin(std::function<void()> half_way, std::function<void()> over) {
-    half_way_ = std::move(half_way);
-    over_ = std::move(over);
-    for (int writer = 0; writer < writers; ++writer) next();
+  void start_changes(std::function<void()> on_half_way, std::function<void()> on_finished) {
+    on_half_way_ = std::move(on_half_way);
+    on_finished_ = std::move(on_finished);
+    for (int index = 0; index < operator_count; ++index) make_next_change();
   }
 
-  // The machine must have, within the bound, every change that was acknowledged before now.
+  // Checks that the machine has every change that is acknowledged by now within the limit.
   void expect_caught_up(Machine& machine) {
-    const std::int64_t began = cluster_.world.milliseconds();
-    wait_for(machine, newest_, cluster_.world.now() + start_bound, TimePoint{}, began);
+    const std::int64_t started_at = cluster_.world.milliseconds();
+    wait_for(machine, newest_, cluster_.world.now() + start_bound, TimePoint{}, started_at);
   }
 
-  // What the owners answer must be no older than what was acknowledged.
+  // Checks that the owners return no version older than the acknowledged one.
   void expect_newest_answered() {
     for (const auto& [key, stamp] : newest_)
       cluster_.control(cluster_.any_alive(), "GET", "/v1/resources/" + key, "",
                        [self = shared_from_this(), key = key, stamp = stamp](int status, const std::string& text) {
-                         self->compare(key, stamp, status, text);
+                         self->check_reply(key, stamp, status, text);
                        });
   }
 
  private:
-  void next() {
-    if (made_ == changes) return;
-    const int number = made_++;
-    if (number == changes / 2) half_way_();
-    const std::string key = "lane/history-" + std::to_string(number % routes);
-    const std::string document = R"({"path":"/history/)" + std::to_string(number % routes) +
-                                 R"(","kind":"model","retries":)" + std::to_string(number / routes) + "}";
+  void make_next_change() {
+    if (started_ == change_count) return;
+    const int number = started_++;
+    if (number == change_count / 2) on_half_way_();
+    const std::string key = "lane/history-" + std::to_string(number % lane_count);
+    const std::string document = R"({"path":"/history/)" + std::to_string(number % lane_count) +
+                                 R"(","kind":"model","retries":)" + std::to_string(number / lane_count) + "}";
     cluster_.apply(key, document, [self = shared_from_this(), key](Stamp stamp) {
       Stamp& newest = self->newest_[key];
       newest = std::max(newest, stamp);
-      if (++self->acknowledged_ == changes) return self->over_();
-      self->next();
+      if (++self->acknowledged_ == change_count) return self->on_finished_();
+      self->make_next_change();
     });
   }
 
-  bool has_all(Machine& machine, const std::map<std::string, Stamp>& wanted) const {
+  bool has_all(Machine& machine, const std::map<std::string, Stamp>& required) const {
     const auto configuration = machine.shared_state().configuration.get();
-    return std::all_of(wanted.begin(), wanted.end(), [&](const auto& change) {
+    return std::all_of(required.begin(), required.end(), [&](const auto& change) {
       auto found = configuration->lanes.find(change.first.substr(change.first.find('/') + 1));
       return found != configuration->lanes.end() && found->second.stamp >= change.second;
     });
   }
 
-  void wait_for(Machine& machine, std::map<std::string, Stamp> wanted, TimePoint until, TimePoint in_touch,
-                std::int64_t began) {
+  void wait_for(Machine& machine, std::map<std::string, Stamp> required, TimePoint deadline, TimePoint connected_since,
+                std::int64_t started_at) {
     World& world = cluster_.world;
-    if (!machine.alive()) return;  // a closing fault
-    if (in_touch == TimePoint{} && machine.shared_state().has_lease(world.now())) {
-      in_touch = world.now();
-      until = in_touch + catch_up_bound;
+    if (!machine.alive()) return;  // The closing fault has killed the machine.
+    if (connected_since == TimePoint{} && machine.shared_state().has_lease(world.now())) {
+      connected_since = world.now();
+      deadline = connected_since + catch_up_bound;
     }
-    if (in_touch != TimePoint{} && has_all(machine, wanted))
-      return world.write({{"what", "observed"},
-                          {"name", "a holder has caught up"},
-                          {"took", world.milliseconds() - began},
-                          {"limit", (start_bound + catch_up_bound).count() / 1000}});
-    if (world.now() >= until)
-      return cluster_.broken.push_back(machine.name +
-                                       (in_touch == TimePoint{} ? " does not serve" : " has not caught up") + " " +
-                                       std::to_string(world.milliseconds() - began) + " ms after its return");
-    world.after(milliseconds(20), [self = shared_from_this(), &machine, wanted = std::move(wanted), until, in_touch,
-                                   began] { self->wait_for(machine, wanted, until, in_touch, began); });
+    if (connected_since != TimePoint{} && has_all(machine, required))
+      return world.write_ledger({{"what", "observed"},
+                                 {"name", "a holder has caught up"},
+                                 {"took", world.milliseconds() - started_at},
+                                 {"limit", (start_bound + catch_up_bound).count() / 1000}});
+    if (world.now() >= deadline)
+      return cluster_.broken.push_back(
+          machine.name + (connected_since == TimePoint{} ? " does not serve" : " has not caught up") + " " +
+          std::to_string(world.milliseconds() - started_at) + " ms after its return");
+    world.after(milliseconds(20),
+                [self = shared_from_this(), &machine, required = std::move(required), deadline, connected_since,
+                 started_at] { self->wait_for(machine, required, deadline, connected_since, started_at); });
   }
 
-  void compare(const std::string& key, Stamp stamp, int status, const std::string& text) {
+  void check_reply(const std::string& key, Stamp stamp, int status, const std::string& text) {
     if (status == 404) return cluster_.broken.push_back(key + " is gone, though acknowledged");
     if (status != 200) return;
     const json::value reply = std::get<json::value>(parse_json(text));
@@ -95,50 +100,52 @@
   }
 
   SimulatedCluster& cluster_;
-  std::function<void()> half_way_, over_;
+  std::function<void()> on_half_way_, on_finished_;
   std::map<std::string, Stamp> newest_;
-  int made_ = 0, acknowledged_ = 0;
+  int started_ = 0, acknowledged_ = 0;
 };
 
-Machine& control_holder(SimulatedCluster& cluster) {
+Machine& pick_control_storage_node(SimulatedCluster& cluster) {
   std::vector<Machine*> list;
-  for (Machine* holder : cluster.holders())
-    if (holder->serves()) list.push_back(holder);
+  for (Machine* node : cluster.holders())
+    if (node->serves()) list.push_back(node);
   return *list[cluster.world.random.below(list.size())];
 }
 
 Machine* owner_of(SimulatedCluster& cluster, const std::string& key) {
-  for (Machine* holder : cluster.holders())
-    if (holder->alive() && !holder->frozen() && holder->serves() &&
-        holder->shared_state().owned.get()->slots.contains(slot_of(key)))
-      return holder;
+  for (Machine* node : cluster.holders())
+    if (node->alive() && !node->frozen() && node->serves() &&
+        node->shared_state().owned.get()->slots.contains(slot_of(key)))
+      return node;
   return nullptr;
 }
 
-using Disturb = std::function<void(SimulatedCluster&, Machine&)>;
-
-// Something is done to a holder, all changes are made, it is undone, and the holder must catch up. `after` comes right
-// after the undoing.
-void disturbed(SimulatedCluster& cluster, Disturb disturb, Disturb half_way, Disturb undo, Disturb after) {
-  auto owned = std::make_shared<ChangeHistory>(cluster);
-  ChangeHistory* history = owned.get();
-  // An event that is never reached owns it: its own callbacks refer to it, and may not own it as well.
-  cluster.world.after(std::chrono::hours(24), [owned] {});
-  Machine& machine = control_holder(cluster);
-  cluster.world.after(seconds(1), [&cluster, history, &machine, disturb, half_way, undo, after] {
-    disturb(cluster, machine);
-    history->begin([&cluster, &machine, half_way] { half_way(cluster, machine); },
-                   [&cluster, history, &machine, undo, after] {
-                     cluster.world.history("the changes are made");
-                     undo(cluster, machine);
-                     history->expect_caught_up(machine);
-                     after(cluster, machine);
-                     cluster.world.after(seconds(10), [history] { history->expect_newest_answered(); });
-                   });
+using Action = std::function<void(SimulatedCluster&, Machine&)>;
+
+// Disturbs a storage node with `begin_outage`, makes all changes, ends the outage and checks that the node catches up.
+// `after_outage` is called right after the end of the outage.
+void run_with_outage(SimulatedCluster& cluster, Action begin_outage, Action on_half_way, Action end_outage,
+                     Action after_outage) {
+  auto keep_alive = std::make_shared<ChangeHistory>(cluster);
+  ChangeHistory* history = keep_alive.get();
+  // An event that is never reached owns the history. Its own callbacks must not own it, because that would be a
+  // reference cycle.
+  cluster.world.after(std::chrono::hours(24), [keep_alive] {});
+  Machine& machine = pick_control_storage_node(cluster);
+  cluster.world.after(seconds(1), [&cluster, history, &machine, begin_outage, on_half_way, end_outage, after_outage] {
+    begin_outage(cluster, machine);
+    history->start_changes([&cluster, &machine, on_half_way] { on_half_way(cluster, machine); },
+                           [&cluster, history, &machine, end_outage, after_outage] {
+                             cluster.world.log_event("the changes are made");
+                             end_outage(cluster, machine);
+                             history->expect_caught_up(machine);
+                             after_outage(cluster, machine);
+                             cluster.world.after(seconds(10), [history] { history->expect_newest_answered(); });
+                           });
   });
 }
 
-void nothing(SimulatedCluster&, Machine&) {}
+void no_action(SimulatedCluster&, Machine&) {}
 
 void kill(SimulatedCluster&, Machine& machine) {
   machine.kill(false);
@@ -148,8 +155,8 @@
   if (!machine.alive()) machine.start();
 }
 
-// The owner of one of the keys dies as soon as the machine holds state again, so that the machine is among the few that
-// may own it next.
+// Kills the owner of one of the keys once the machine has data again, so that the machine is among the few candidates
+// for the next owner.
 void kill_owner(SimulatedCluster& cluster, Machine& machine) {
   Machine* owner = owner_of(cluster, "lane/history-1");
   if (owner == nullptr || owner == &machine) return;
@@ -159,21 +166,21 @@
   });
 }
 
-// All holders lose power and return together: nobody can bring the one that was away up to date before it owns keys, so
-// only the promises of the others do.
-void restart_all(SimulatedCluster& cluster, Machine&) {
-  for (Machine* holder : cluster.holders()) holder->kill(false);
-  for (Machine* holder : cluster.holders())
-    if (!holder->alive()) holder->start();
+// All storage nodes lose power and return together. No node can update the one that was down before it owns keys, so
+// only the epochs promised by the others keep it from serving outdated data.
+void restart_all_storage_nodes(SimulatedCluster& cluster, Machine&) {
+  for (Machine* node : cluster.holders()) node->kill(false);
+  for (Machine* node : cluster.holders())
+    if (!node->alive()) node->start();
 }
 
-void room_again(SimulatedCluster& cluster, Machine& machine) {
+void free_disk_space(SimulatedCluster& cluster, Machine& machine) {
   if (!machine.shared_state().owned.get()->slots.empty())
     cluster.broken.push_back("a holder with a full disk still owns keys: " + machine.name);
   machine.disk().set_failing(false);
 }
 
-void kill_owner_soon(SimulatedCluster& cluster, Machine& machine) {
+void schedule_kill_owner(SimulatedCluster& cluster, Machine& machine) {
   cluster.world.after(milliseconds(1200), [&cluster, &machine] { kill_owner(cluster, machine); });
 }
 
@@ -182,41 +189,44 @@
 std::vector<Scenario> history_scenarios() {
   const Limits limits{5000, 80};
   std::vector<Scenario> list;
-  auto add = [&](std::string name, std::string about, Disturb disturb, Disturb half_way, Disturb undo, Disturb after) {
+  auto add = [&](std::string name, std::string description, Action begin_outage, Action on_half_way, Action end_outage,
+                 Action after_outage) {
     Scenario scenario;
     scenario.name = std::move(name);
-    scenario.about = std::move(about);
-    scenario.faults = [disturb, half_way, undo, after](SimulatedCluster& cluster) {
-      disturbed(cluster, disturb, half_way, undo, after);
+    scenario.description = std::move(description);
+    scenario.faults = [begin_outage, on_half_way, end_outage, after_outage](SimulatedCluster& cluster) {
+      run_with_outage(cluster, begin_outage, on_half_way, end_outage, after_outage);
     };
     scenario.load = seconds(24);
     scenario.limits = limits;
     list.push_back(std::move(scenario));
   };
-  add("history-away", "500 changes while a holder is down", kill, nothing, start, nothing);
+  add("history-away", "500 changes while a storage node is down", kill, no_action, start, no_action);
   add(
-      "history-frozen", "500 changes while a holder is frozen",
-      [](SimulatedCluster&, Machine& machine) { machine.freeze(); }, nothing,
-      [](SimulatedCluster&, Machine& machine) { machine.wake(); }, nothing);
+      "history-frozen", "500 changes while a storage node is suspended",
+      [](SimulatedCluster&, Machine& machine) { machine.freeze(); }, no_action,
+      [](SimulatedCluster&, Machine& machine) { machine.wake(); }, no_action);
   add(
-      "history-slow-disk", "500 changes while a holder's disk is 30 times as slow, then it is killed and returns",
-      [](SimulatedCluster&, Machine& machine) { machine.disk().sync_time = milliseconds(60); }, nothing,
+      "history-slow-disk",
+      "500 changes while the disk of a storage node takes 60 ms for a sync, then the node is killed and restarted",
+      [](SimulatedCluster&, Machine& machine) { machine.disk().sync_time = milliseconds(60); }, no_action,
       [](SimulatedCluster&, Machine& machine) {
         machine.kill(false);
         machine.disk().sync_time = std::chrono::microseconds(400);
         machine.start();
       },
-      nothing);
-  add("history-owner-killed", "500 changes while a holder is down, and an owner dies in the middle", kill, kill_owner,
-      start, nothing);
-  add("history-owner-soon", "500 changes while a holder is down; an owner dies right after it is back", kill, nothing,
-      start, kill_owner_soon);
-  add("history-owner-at-once", "500 changes while a holder is down; all others lose power and all return together",
-      kill, nothing, restart_all, nothing);
+      no_action);
+  add("history-owner-killed", "500 changes while a storage node is down, and an owner is killed after half of them",
+      kill, kill_owner, start, no_action);
+  add("history-owner-soon", "500 changes while a storage node is down; an owner is killed right after the node is back",
+      kill, no_action, start, schedule_kill_owner);
+  add("history-owner-at-once",
+      "500 changes while a storage node is down; then all others lose power, and all return together", kill, no_action,
+      restart_all_storage_nodes, no_action);
   add(
-      "history-full-disk", "500 changes while a holder's disk takes nothing more",
-      [](SimulatedCluster&, Machine& machine) { machine.disk().set_failing(true); }, nothing, room_again,
-      kill_owner_soon);
+      "history-full-disk", "500 changes while the disk of a storage node is full",
+      [](SimulatedCluster&, Machine& machine) { machine.disk().set_failing(true); }, no_action, free_disk_space,
+      schedule_kill_owner);
   return list;
 }
 
--- a/source/simulate/history_scenarios.hpp
+++ b/source/simulate/history_scenarios.hpp
@@ -1,4 +1,4 @@
-// Scenarios in which a holder misses hundreds of changes, or its disk lags behind them.
+// Scenarios in which a storage node misses hundreds of configuration changes, or its disk is too slow for them.
 #pragma once
 #include "simulate/scenarios.hpp"
 
--- a/source/simulate/loss_scenarios.cpp
+++ b/source/simulate/loss_scenarios.cpp
@@ -1,6 +1,7 @@
-// Losses of disks and machines that follow one another as soon as the platform allows it: a machine counts as lost
-// until the synchronization time after its start has passed, then the next may go. Lots and changes of configuration
-// are acknowledged all the while; at the end one disk is wiped, all others lose power, and everything is read back.
+// Disks and machines are lost one after another, as soon as the platform may cause the next loss: a machine counts as
+// lost until the synchronization time after its start has passed. Lots (batches) and configuration changes are
+// acknowledged during the whole run. At the end the oldest disks are wiped, all other machines lose power, and
+// everything that was acknowledged is read back.
 #include <algorithm>
 
 #include "simulate/scenarios.hpp"
@@ -14,140 +15,147 @@
 
 constexpr Duration read_back_limit = seconds(12);
 
-// What the platform may do: how long a machine counts as lost after its return, and how many may be lost at once.
+// The losses that the platform may cause: how long a machine counts as lost after its return, and how many machines may
+// be lost at once.
 struct Tolerance {
   Duration synchronization_time = milliseconds(4900);
-  std::size_t machines = 1;
-  bool repaired_in_time = true;  // whether the group is to be whole before the next loss
+  std::size_t machines_at_once = 1;
+  bool requires_repair = true;  // Whether the group has to be fully replicated again before the next loss.
 };
 
-// One run: which group of holders is struck, and how long each of its disks has lasted.
-struct Losses {
-  Losses(SimulatedCluster& given, Tolerance given_tolerance) : cluster(given), tolerance(given_tolerance) {
+// The state of one run: which group of storage nodes the faults are injected into, and since when each disk is in use.
+struct LossRun {
+  LossRun(SimulatedCluster& simulated_cluster, Tolerance loss_tolerance)
+      : cluster(simulated_cluster), tolerance(loss_tolerance) {
     const bool two_groups = cluster.shape.told_first_start;
-    keeps = !two_groups ? "" : tolerance.machines == 1 && cluster.world.random.below(3) == 0 ? "control" : "lots";
-    for (Machine* holder : cluster.holders()) disk_since[holder] = TimePoint{};
+    keeps = !two_groups                                                             ? ""
+            : tolerance.machines_at_once == 1 && cluster.world.random.below(3) == 0 ? "control"
+                                                                                    : "lots";
+    for (Machine* node : cluster.holders()) disk_since[node] = TimePoint{};
   }
   SimulatedCluster& cluster;
   const Tolerance tolerance;
-  std::string keeps;
-  std::map<Machine*, TimePoint> disk_since;
-  std::set<Machine*> gone;  // for good
+  std::string keeps;                         // The group: what its machines store, as in Member::keeps.
+  std::map<Machine*, TimePoint> disk_since;  // The time since which each machine has its present disk.
+  std::set<Machine*> lost_for_good;          // The machines that never return.
 };
-using LossesPointer = std::shared_ptr<Losses>;
+using LossRunPointer = std::shared_ptr<LossRun>;
 
-std::vector<Machine*> group(const Losses& losses) {
+std::vector<Machine*> group_members(const LossRun& run) {
   std::vector<Machine*> list;
-  for (Machine* holder : losses.cluster.holders())
-    if (holder->keeps == losses.keeps && !losses.gone.contains(holder)) list.push_back(holder);
+  for (Machine* node : run.cluster.holders())
+    if (node->keeps == run.keeps && !run.lost_for_good.contains(node)) list.push_back(node);
   return list;
 }
 
-Machine& oldest_disk(const Losses& losses) {
-  const std::vector<Machine*> list = group(losses);
+Machine& oldest_disk(const LossRun& run) {
+  const std::vector<Machine*> list = group_members(run);
   return **std::min_element(list.begin(), list.end(), [&](Machine* left, Machine* right) {
-    return losses.disk_since.at(left) < losses.disk_since.at(right);
+    return run.disk_since.at(left) < run.disk_since.at(right);
   });
 }
 
-// As many as may be lost at once, seated holders first: the platform strikes those that keep something.
-std::vector<Machine*> oldest_disks(const Losses& losses) {
-  const Roster& roster = losses.cluster.any_alive().shared_state().configuration.get()->lot_roster;
-  std::vector<Machine*> list = group(losses);
+// As many of the oldest disks as may be lost at once. If that is more than one, voting storage nodes come first, since
+// only they have data to lose.
+std::vector<Machine*> oldest_disks(const LossRun& run) {
+  const Roster& roster = run.cluster.any_alive().shared_state().configuration.get()->lot_roster;
+  std::vector<Machine*> list = group_members(run);
   std::sort(list.begin(), list.end(), [&](Machine* left, Machine* right) {
     auto rank = [&](Machine* machine) {
-      const bool seated = machine->kept() != nullptr && roster.seated(machine->kept()->identity());
-      return std::make_pair(losses.tolerance.machines > 1 && !seated, losses.disk_since.at(machine));
+      const bool voting = machine->kept() != nullptr && roster.seated(machine->kept()->identity());
+      return std::make_pair(run.tolerance.machines_at_once > 1 && !voting, run.disk_since.at(machine));
     };
     return rank(left) < rank(right);
   });
-  list.resize(std::min(list.size(), losses.tolerance.machines));
+  list.resize(std::min(list.size(), run.tolerance.machines_at_once));
   return list;
 }
 
-Duration between(World& world, Duration least, Duration most) {
-  return least +
-         Duration(static_cast<std::int64_t>(world.random.below(static_cast<std::uint64_t>((most - least).count()))));
+Duration random_duration(World& world, Duration minimum, Duration maximum) {
+  return minimum + Duration(static_cast<std::int64_t>(
+                       world.random.below(static_cast<std::uint64_t>((maximum - minimum).count()))));
 }
 
-void start_later(Machine& machine, World& world, Duration pause) {
+void schedule_start(Machine& machine, World& world, Duration pause) {
   world.after(pause, [&machine] {
     if (!machine.alive()) machine.start();
   });
 }
 
-void wipe(const LossesPointer& losses, Machine& machine, Duration down) {
+void wipe_and_restart(const LossRunPointer& run, Machine& machine, Duration down) {
   machine.kill(true);
-  losses->disk_since[&machine] = losses->cluster.world.now() + down;
-  start_later(machine, losses->cluster.world, down);
+  run->disk_since[&machine] = run->cluster.world.now() + down;
+  schedule_start(machine, run->cluster.world, down);
 }
 
-void lose_for_good(const LossesPointer& losses, Machine& machine) {
+void remove_permanently(const LossRunPointer& run, Machine& machine) {
   machine.kill(true);
-  losses->gone.insert(&machine);
+  run->lost_for_good.insert(&machine);
 }
 
-Machine& add_empty(const LossesPointer& losses, const std::string& zone) {
-  Machine& machine = losses->cluster.add_machine(zone, losses->keeps);
-  losses->disk_since[&machine] = losses->cluster.world.now();
+Machine& add_empty_machine(const LossRunPointer& run, const std::string& zone) {
+  Machine& machine = run->cluster.add_machine(zone, run->keeps);
+  run->disk_since[&machine] = run->cluster.world.now();
   machine.start();
   return machine;
 }
 
-// The oldest machine goes for good; an empty one comes at another address, before it or after.
-Duration replace_oldest(const LossesPointer& losses, bool planned) {
-  World& world = losses->cluster.world;
-  const Duration gap = between(world, milliseconds(500), milliseconds(2500));
-  Machine& machine = oldest_disk(*losses);
+// Replaces the oldest machine by an empty one at another address. If planned, the new one starts before the old one is
+// removed, otherwise afterwards.
+Duration replace_oldest(const LossRunPointer& run, bool planned) {
+  World& world = run->cluster.world;
+  const Duration gap = random_duration(world, milliseconds(500), milliseconds(2500));
+  Machine& machine = oldest_disk(*run);
   if (planned) {
-    add_empty(losses, machine.zone);
-    world.after(gap, [losses, &machine] { lose_for_good(losses, machine); });
+    add_empty_machine(run, machine.zone);
+    world.after(gap, [run, &machine] { remove_permanently(run, machine); });
   } else {
-    lose_for_good(losses, machine);
-    world.after(gap, [losses, zone = machine.zone] { add_empty(losses, zone); });
+    remove_permanently(run, machine);
+    world.after(gap, [run, zone = machine.zone] { add_empty_machine(run, zone); });
   }
   return gap;
 }
 
-// Retired by the operator; once that is shown complete, its machine and the oldest other disk go at the same moment.
-void retire_then_wipe(const LossesPointer& losses, Machine& machine) {
-  losses->cluster.operator_change("holder/" + machine.address.text, R"({"retired":true})");
-  auto ask = std::make_shared<std::function<void()>>();
-  std::weak_ptr<std::function<void()>> weak = ask;
-  *ask = [losses, &machine, weak] {
+// Retires a storage node. Once the retirement is reported complete, its machine is removed and the oldest other disk is
+// wiped at the same moment.
+void retire_then_wipe(const LossRunPointer& run, Machine& machine) {
+  run->cluster.operator_change("holder/" + machine.address.text, R"({"retired":true})");
+  auto poll = std::make_shared<std::function<void()>>();
+  std::weak_ptr<std::function<void()>> weak = poll;
+  *poll = [run, &machine, weak] {
     auto self = weak.lock();
-    if (!self || losses->gone.contains(&machine)) return;
-    const std::string roster = losses->keeps == "lots" ? "roster/lots" : "roster";
-    losses->cluster.retirement(roster, machine.address, [losses, &machine](RetirementReply reply) {
-      if (!reply.complete || losses->gone.contains(&machine)) return;
-      losses->cluster.world.history("the retirement of " + machine.name + " is complete");
-      lose_for_good(losses, machine);
-      wipe(losses, oldest_disk(*losses), milliseconds(1500));
+    if (!self || run->lost_for_good.contains(&machine)) return;
+    const std::string roster = run->keeps == "lots" ? "roster/lots" : "roster";
+    run->cluster.query_retirement(roster, machine.address, [run, &machine](RetirementReply reply) {
+      if (!reply.complete || run->lost_for_good.contains(&machine)) return;
+      run->cluster.world.log_event("the retirement of " + machine.name + " is complete");
+      remove_permanently(run, machine);
+      wipe_and_restart(run, oldest_disk(*run), milliseconds(1500));
     });
-    losses->cluster.world.after(milliseconds(200), [self] { (*self)(); });
+    run->cluster.world.after(milliseconds(200), [self] { (*self)(); });
   };
-  (*ask)();
+  (*poll)();
 }
 
-void lose_zone(const LossesPointer& losses, const std::string& zone, Duration down) {
-  losses->cluster.world.history("zone " + zone + " loses its power");
-  for (auto& machine : losses->cluster.machines)
+void lose_zone(const LossRunPointer& run, const std::string& zone, Duration down) {
+  run->cluster.world.log_event("zone " + zone + " loses its power");
+  for (auto& machine : run->cluster.machines)
     if (machine->zone == zone && machine->alive()) {
       machine->kill(false);
-      start_later(*machine, losses->cluster.world,
-                  down + between(losses->cluster.world, Duration{}, milliseconds(1500)));
+      schedule_start(*machine, run->cluster.world,
+                     down + random_duration(run->cluster.world, Duration{}, milliseconds(1500)));
     }
 }
 
-// ---- what is acknowledged meanwhile, and read back
+// ---- what is acknowledged during the losses, and read back at the end
 
-void change_configuration(const LossesPointer& losses, Duration length) {
-  World& world = losses->cluster.world;
+void change_configuration(const LossRunPointer& run, Duration length) {
+  World& world = run->cluster.world;
   for (Duration at{}; at < length; at += milliseconds(150))
-    world.after(at, [losses, number = at.count() / 150000] {
-      losses->cluster.operator_change("lane/loss-" + std::to_string(number % 40),
-                                      R"({"path":"/loss-)" + std::to_string(number % 40) +
-                                          R"(","kind":"model","retries":)" + std::to_string(number % 9) + "}");
+    world.after(at, [run, number = at.count() / 150000] {
+      run->cluster.operator_change("lane/loss-" + std::to_string(number % 40),
+                                   R"({"path":"/loss-)" + std::to_string(number % 40) +
+                                       R"(","kind":"model","retries":)" + std::to_string(number % 9) + "}");
     });
 }
 
@@ -164,20 +172,20 @@
       true);
 }
 
-void read_resource(SimulatedCluster& cluster, const std::string& key, Stamp least, TimePoint until) {
+void read_resource(SimulatedCluster& cluster, const std::string& key, Stamp minimum, TimePoint until) {
   cluster.control(
       cluster.any_alive(), "GET", "/v1/resources/" + key, "",
-      [&cluster, key, least, until](int status, const std::string& text) {
+      [&cluster, key, minimum, until](int status, const std::string& text) {
         if (status == 200) {
           const json::value reply = std::get<json::value>(parse_json(text));
           const Stamp have{Epoch{reply.at("epoch").to_number<std::uint64_t>()},
                            Version{reply.at("version").to_number<std::uint64_t>()}};
-          if (have >= least) return;
+          if (have >= minimum) return;
         }
         if (cluster.world.now() >= until)
           return cluster.broken.push_back("an acknowledged change is gone: " + key + ": " + std::to_string(status));
         cluster.world.after(milliseconds(500),
-                            [&cluster, key, least, until] { read_resource(cluster, key, least, until); });
+                            [&cluster, key, minimum, until] { read_resource(cluster, key, minimum, until); });
       });
 }
 
@@ -188,179 +196,188 @@
     if (line.at("what").as_string() == "lot") lots.emplace(line.at("id").as_string());
   std::map<std::string, Stamp> changes;
   for (const auto& change : cluster.acknowledged) changes[change.key] = std::max(changes[change.key], change.stamp);
-  cluster.world.history("everything is read back: " + std::to_string(lots.size()) + " lots, " +
-                        std::to_string(changes.size()) + " resources");
+  cluster.world.log_event("everything is read back: " + std::to_string(lots.size()) + " lots, " +
+                          std::to_string(changes.size()) + " resources");
   for (const auto& id : lots) read_lot(cluster, id, until);
   for (const auto& [key, stamp] : changes) read_resource(cluster, key, stamp, until);
 }
 
-// The end of a day: the oldest disk is wiped, all other machines lose power.
-void close_with_wipe(const LossesPointer& losses) {
-  SimulatedCluster& cluster = losses->cluster;
-  cluster.world.history("the closing fault");
-  const std::vector<Machine*> wiped = oldest_disks(*losses);
-  const Duration down = between(cluster.world, milliseconds(500), milliseconds(1500));
+// The closing fault: the oldest disks are wiped, and all other machines lose power.
+void close_with_wipe(const LossRunPointer& run) {
+  SimulatedCluster& cluster = run->cluster;
+  cluster.world.log_event("the closing fault");
+  const std::vector<Machine*> wiped = oldest_disks(*run);
+  const Duration down = random_duration(cluster.world, milliseconds(500), milliseconds(1500));
   for (auto& machine : cluster.machines) {
     if (!machine->alive()) continue;
     machine->kill(std::find(wiped.begin(), wiped.end(), machine.get()) != wiped.end());
-    start_later(*machine, cluster.world, down + between(cluster.world, Duration{}, milliseconds(300)));
+    schedule_start(*machine, cluster.world, down + random_duration(cluster.world, Duration{}, milliseconds(300)));
   }
   cluster.world.after(down + seconds(8), [&cluster] { read_back(cluster); });
 }
 
-// ---- how long it takes until the group bears the next loss
+// ---- the time until the group can survive the next loss
 
-// Seats that bear as many losses at once as the platform allows.
-std::size_t seats_needed(const Losses& losses) {
-  return losses.tolerance.machines == 1 ? 3 : 2 * losses.tolerance.machines + 1;
+// The number of voters that survives as many losses at once as the platform may cause.
+std::size_t voters_needed(const LossRun& run) {
+  return run.tolerance.machines_at_once == 1 ? 3 : 2 * run.tolerance.machines_at_once + 1;
 }
 
-// Seated: enough seats, and an owner under their roster for every slot. Whole: each seat has all of every slot as well.
-enum class Restored { seated, whole };
+// voters_restored: the roster has enough voters, and every slot has an owner under it. replicas_complete: in addition,
+// each voter has all data of every slot.
+enum class RepairLevel { voters_restored, replicas_complete };
 
-bool restored(const Losses& losses, Restored wanted) {
+bool is_repaired(const LossRun& run, RepairLevel required) {
   const Roster* roster = nullptr;
   std::map<StorageNodeId, ReplicatedStore*> stores;
-  for (Machine* holder : group(losses)) {
-    if (!holder->alive() || holder->kept() == nullptr) continue;
-    stores[holder->kept()->identity()] = holder->kept();
-    if (roster == nullptr || roster->version < holder->kept()->roster().version) roster = &holder->kept()->roster();
+  for (Machine* node : group_members(run)) {
+    if (!node->alive() || node->kept() == nullptr) continue;
+    stores[node->kept()->identity()] = node->kept();
+    if (roster == nullptr || roster->version < node->kept()->roster().version) roster = &node->kept()->roster();
   }
-  if (roster == nullptr || roster->seats.size() < seats_needed(losses)) return false;
+  if (roster == nullptr || roster->seats.size() < voters_needed(run)) return false;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
-    Epoch owned, least{UINT64_MAX};
+    Epoch owned, lowest_installed{UINT64_MAX};
     for (const auto& seat : roster->seats) {
       auto found = stores.find(seat.holder);
       if (found == stores.end()) return false;
       const ReplicatedStore::SlotView view = found->second->slot_view(slot);
       owned = std::max(owned, view.owned);
-      least = std::min(least, view.installed);
+      lowest_installed = std::min(lowest_installed, view.installed);
     }
-    if (owned == Epoch{} || (wanted == Restored::whole && least < owned)) return false;
+    if (owned == Epoch{} || (required == RepairLevel::replicas_complete && lowest_installed < owned)) return false;
   }
   return true;
 }
 
-void measure(const LossesPointer& losses, TimePoint since, Restored wanted, Duration limit) {
-  World& world = losses->cluster.world;
-  world.after(milliseconds(50), [losses, since, wanted, limit, &world] {
+void record_repair_time(const LossRunPointer& run, TimePoint since, RepairLevel required, Duration limit) {
+  World& world = run->cluster.world;
+  world.after(milliseconds(50), [run, since, required, limit, &world] {
     const std::int64_t took = (world.now() - since).count() / 1000;
-    if (!restored(*losses, wanted) && took < 30000) return measure(losses, since, wanted, limit);
-    world.write({{"what", "observed"},
-                 {"name", std::string(wanted == Restored::seated ? "seated" : "whole") + " after a machine's return"},
-                 {"took", took},
-                 {"limit", limit.count() / 1000}});
+    if (!is_repaired(*run, required) && took < 30000) return record_repair_time(run, since, required, limit);
+    world.write_ledger({{"what", "observed"},
+                        {"name", std::string(required == RepairLevel::voters_restored ? "seated" : "whole") +
+                                     " after a machine's return"},
+                        {"took", took},
+                        {"limit", limit.count() / 1000}});
   });
 }
 
-// All seats are to be filled before the platform may strike again. Where several may be lost at once they are to stand
-// well before that.
-void measure_repair(const LossesPointer& losses, TimePoint since) {
-  const Duration limit = losses->tolerance.synchronization_time;
-  if (losses->tolerance.machines > 1) measure(losses, since, Restored::seated, limit / 2);
-  measure(losses, since, Restored::whole, limit);
+// The voters must have all data before the platform may cause the next loss. Where several machines may be lost at
+// once, the voters must be appointed in half of that time.
+void record_repair_times(const LossRunPointer& run, TimePoint since) {
+  const Duration limit = run->tolerance.synchronization_time;
+  if (run->tolerance.machines_at_once > 1) record_repair_time(run, since, RepairLevel::voters_restored, limit / 2);
+  record_repair_time(run, since, RepairLevel::replicas_complete, limit);
 }
 
-// The strikes one after another, each as soon as the one before no longer counts; then the closing fault.
-using Strikes = std::vector<std::function<Duration(const LossesPointer&)>>;  // each tells when its machine is back
-
-void strike_in_turn(const LossesPointer& losses, std::shared_ptr<Strikes> strikes, std::size_t index) {
-  World& world = losses->cluster.world;
-  if (index == strikes->size()) return close_with_wipe(losses);
-  const Duration back = (*strikes)[index](losses);
-  const TimePoint returned = world.now() + back;
-  if (losses->tolerance.repaired_in_time) world.after(back, [losses, returned] { measure_repair(losses, returned); });
-  world.after(back + losses->tolerance.synchronization_time,
-              [losses, strikes, index] { strike_in_turn(losses, strikes, index + 1); });
+// The faults of a run, in order. Each is injected as soon as the one before no longer counts as a loss; the closing
+// fault comes last.
+// Each function injects a fault and returns the time until its machines are back.
+using FaultSequence = std::vector<std::function<Duration(const LossRunPointer&)>>;
+
+void run_fault_sequence(const LossRunPointer& run, std::shared_ptr<FaultSequence> faults, std::size_t index) {
+  World& world = run->cluster.world;
+  if (index == faults->size()) return close_with_wipe(run);
+  const Duration downtime = (*faults)[index](run);
+  const TimePoint returned = world.now() + downtime;
+  if (run->tolerance.requires_repair) world.after(downtime, [run, returned] { record_repair_times(run, returned); });
+  world.after(downtime + run->tolerance.synchronization_time,
+              [run, faults, index] { run_fault_sequence(run, faults, index + 1); });
 }
 
-// The strikes begin within a second after `first`; until shortly before the load's end the configuration changes.
-Scenario strikes_in_turn(std::string name, std::string about, Tolerance tolerance, Duration load, Duration first,
-                         Strikes strikes, std::function<void(SimulatedCluster&)> hand_in_lots) {
-  Scenario made;
-  made.name = std::move(name);
-  made.about = std::move(about);
-  made.load = load;
-  made.settle = seconds(45);
-  made.limits = Limits{30000, 400};
-  made.closes = made.needs_lots = true;
-  auto list = std::make_shared<Strikes>(std::move(strikes));
-  made.faults = [tolerance, load, first, list, hand_in_lots](SimulatedCluster& cluster) {
-    auto losses = std::make_shared<Losses>(cluster, tolerance);
-    hand_in_lots(cluster);
-    change_configuration(losses, load - seconds(2));
-    cluster.world.after(first + between(cluster.world, Duration{}, seconds(1)),
-                        [losses, list] { strike_in_turn(losses, list, 0); });
+// A scenario whose faults begin within one second after `first`. The configuration is changed until 2 s before the end
+// of the load.
+Scenario make_loss_scenario(std::string name, std::string description, Tolerance tolerance, Duration load,
+                            Duration first, FaultSequence faults, std::function<void(SimulatedCluster&)> submit_lots) {
+  Scenario scenario;
+  scenario.name = std::move(name);
+  scenario.description = std::move(description);
+  scenario.load = load;
+  scenario.settle = seconds(45);
+  scenario.limits = Limits{30000, 400};
+  scenario.has_closing_fault = scenario.needs_lots = true;
+  auto list = std::make_shared<FaultSequence>(std::move(faults));
+  scenario.faults = [tolerance, load, first, list, submit_lots](SimulatedCluster& cluster) {
+    auto run = std::make_shared<LossRun>(cluster, tolerance);
+    submit_lots(cluster);
+    change_configuration(run, load - seconds(2));
+    cluster.world.after(first + random_duration(cluster.world, Duration{}, seconds(1)),
+                        [run, list] { run_fault_sequence(run, list, 0); });
   };
-  return made;
+  return scenario;
 }
 
-Scenario scenario(std::string name, std::string about, Strikes strikes) {
-  return strikes_in_turn(std::move(name), std::move(about), Tolerance{}, seconds(26), seconds(4), std::move(strikes),
-                         [](SimulatedCluster& cluster) { cluster.shape.lots[0].rate = 6; });
+Scenario single_loss_scenario(std::string name, std::string description, FaultSequence faults) {
+  return make_loss_scenario(std::move(name), std::move(description), Tolerance{}, seconds(26), seconds(4),
+                            std::move(faults), [](SimulatedCluster& cluster) { cluster.shape.lots[0].rate = 6; });
 }
 
-Duration wipe_oldest(const LossesPointer& losses) {
-  const Duration down = between(losses->cluster.world, milliseconds(500), milliseconds(2000));
-  wipe(losses, oldest_disk(*losses), down);
+Duration wipe_oldest(const LossRunPointer& run) {
+  const Duration down = random_duration(run->cluster.world, milliseconds(500), milliseconds(2000));
+  wipe_and_restart(run, oldest_disk(*run), down);
   return down;
 }
 
-Duration lose_and_return_zone(const LossesPointer& losses) {
-  lose_zone(losses, oldest_disk(*losses).zone, seconds(3));
+Duration lose_and_return_zone(const LossRunPointer& run) {
+  lose_zone(run, oldest_disk(*run).zone, seconds(3));
   return milliseconds(4500);
 }
 
-Duration retire_oldest(const LossesPointer& losses) {
-  Machine& machine = oldest_disk(*losses);
-  add_empty(losses, machine.zone);
-  losses->cluster.world.after(losses->tolerance.synchronization_time,
-                              [losses, &machine] { retire_then_wipe(losses, machine); });
+Duration retire_oldest(const LossRunPointer& run) {
+  Machine& machine = oldest_disk(*run);
+  add_empty_machine(run, machine.zone);
+  run->cluster.world.after(run->tolerance.synchronization_time, [run, &machine] { retire_then_wipe(run, machine); });
   return seconds(12);
 }
 
-Duration wipe_two_oldest(const LossesPointer& losses) {
-  const Duration down = between(losses->cluster.world, milliseconds(500), milliseconds(2000));
-  for (Machine* machine : oldest_disks(*losses)) wipe(losses, *machine, down);
+Duration wipe_two_oldest(const LossRunPointer& run) {
+  const Duration down = random_duration(run->cluster.world, milliseconds(500), milliseconds(2000));
+  for (Machine* machine : oldest_disks(*run)) wipe_and_restart(run, *machine, down);
   return down;
 }
 
-// Lots come in a crowd, then at a pace that leaves the holders time for their repairs.
-Scenario two_disks_at_once(std::string name, std::string about, Tolerance tolerance) {
-  auto crowd = [](SimulatedCluster& cluster) {
+// Many lots are submitted in the first 5 s, then few enough to leave the storage nodes time to repair their replicas.
+Scenario two_disks_at_once(std::string name, std::string description, Tolerance tolerance) {
+  auto initial_burst = [](SimulatedCluster& cluster) {
     cluster.shape.lots[0].rate = 12;
     cluster.world.after(seconds(5), [&cluster] { cluster.shape.lots[0].rate = 1; });
   };
-  Scenario made = strikes_in_turn(std::move(name), std::move(about), tolerance, seconds(32), seconds(7),
-                                  {wipe_two_oldest, wipe_two_oldest, wipe_two_oldest}, crowd);
-  made.shape = "storage";
-  return made;
+  Scenario scenario = make_loss_scenario(std::move(name), std::move(description), tolerance, seconds(32), seconds(7),
+                                         {wipe_two_oldest, wipe_two_oldest, wipe_two_oldest}, initial_burst);
+  scenario.shape = "storage";
+  return scenario;
 }
 
 }  // namespace
 
 std::vector<Scenario> loss_scenarios() {
-  auto planned = [](const LossesPointer& losses) {
-    return replace_oldest(losses, true);
+  auto planned = [](const LossRunPointer& run) {
+    return replace_oldest(run, true);
   };
-  auto unplanned = [](const LossesPointer& losses) {
-    return replace_oldest(losses, false);
+  auto unplanned = [](const LossRunPointer& run) {
+    return replace_oldest(run, false);
   };
   return {
-      scenario("loss-replace-twice", "the oldest machine of a group is lost for good, an empty one comes; twice",
-               {unplanned, unplanned}),
-      scenario("loss-replace-planned", "the same by plan: the new machine comes first; twice", {planned, planned}),
-      scenario("loss-wipe-oldest", "the oldest disks are wiped one after another", {wipe_oldest, wipe_oldest}),
-      scenario("loss-zone-then-wipe", "a zone loses power and returns, then a disk is wiped",
-               {lose_and_return_zone, wipe_oldest}),
-      scenario("loss-retire-wipe-replace",
-               "a machine is retired and goes as another's disk is wiped, then the oldest one is replaced",
-               {retire_oldest, unplanned}),
-      two_disks_at_once(
-          "loss-wipe-two",
-          "two of the seated disks are wiped at once, again and again, while many megabytes of lots are kept",
-          Tolerance{seconds(6), 2}),
-      two_disks_at_once("loss-wipe-two-before-repair", "the same, each time before the last two are made good",
+      single_loss_scenario("loss-replace-twice",
+                           "the oldest machine of a group is lost for good and replaced by an empty one, twice",
+                           {unplanned, unplanned}),
+      single_loss_scenario("loss-replace-planned",
+                           "a new machine is added before the oldest one of a group is removed, twice",
+                           {planned, planned}),
+      single_loss_scenario("loss-wipe-oldest", "the oldest disks are wiped one after another",
+                           {wipe_oldest, wipe_oldest}),
+      single_loss_scenario("loss-zone-then-wipe", "a zone loses power and returns, then a disk is wiped",
+                           {lose_and_return_zone, wipe_oldest}),
+      single_loss_scenario("loss-retire-wipe-replace",
+                           "a machine is retired and removed at the moment when the disk of another is wiped, then the "
+                           "oldest one is replaced",
+                           {retire_oldest, unplanned}),
+      two_disks_at_once("loss-wipe-two",
+                        "two disks of voters are wiped at once, three times, while many megabytes of lots are stored",
+                        Tolerance{seconds(6), 2}),
+      two_disks_at_once("loss-wipe-two-before-repair",
+                        "the same, each time before the replicas on the previous two are repaired",
                         Tolerance{seconds(2), 2, false}),
   };
 }
--- a/source/simulate/service_scenarios.hpp
+++ b/source/simulate/service_scenarios.hpp
@@ -1,4 +1,4 @@
-// Scenarios on a fleet with many more daemons than the runners of a small service take connections.
+// Scenarios on a fleet that has many more daemons than each runner of a small service accepts connections.
 #pragma once
 #include "simulate/scenarios.hpp"
 
--- a/source/simulate/simulated_connections.cpp
+++ b/source/simulate/simulated_connections.cpp
@@ -1,4 +1,4 @@
-// Limits of connections at runners, and the reuse of idle ones.
+// Implements the connection limits of runners and the reuse of idle connections.
 #include "simulate/simulated_connections.hpp"
 
 #include <algorithm>
@@ -6,12 +6,12 @@
 namespace mothwalk::simulate {
 
 namespace {
-// How long a daemon uses an idle connection again for any work; and for work that may be repeated, which goes again
-// where the runner was closing it. After that the daemon closes it.
-Duration sure_idle(const RunnerConnections& runner) {
+// How long a daemon reuses an idle connection for any request, and how long for a repeatable one, which is retried if
+// the runner is closing the connection at that moment. After the longer time the daemon closes it.
+Duration max_idle_for_unrepeatable(const RunnerConnections& runner) {
   return runner.idle() / 2;
 }
-Duration longest_idle(const RunnerConnections& runner) {
+Duration max_idle(const RunnerConnections& runner) {
   return runner.idle() * 3 / 4;
 }
 }  // namespace
@@ -25,12 +25,12 @@
   return true;
 }
 
-void RunnerConnections::release(std::uint64_t life) {
-  if (life == life_) --open_;
+void RunnerConnections::release(std::uint64_t incarnation) {
+  if (incarnation == incarnation_) --open_;
 }
 
 void RunnerConnections::restart() {
-  ++life_;
+  ++incarnation_;
   open_ = 0;
 }
 
@@ -45,10 +45,10 @@
   auto found = pools_.find(key);
   while (found != pools_.end() && !found->second.idle.empty()) {
     const SimulatedConnectionPointer connection = found->second.idle.back();
-    const Duration age = world_.now() - connection->used;
-    const bool usable = age < longest_idle(*connection->runner);
-    if (usable && age > sure_idle(*connection->runner) && !repeatable) return nullptr;
-    if (usable && connection->runner_life == connection->runner->life()) {
+    const Duration age = world_.now() - connection->idle_since;
+    const bool usable = age < max_idle(*connection->runner);
+    if (usable && age > max_idle_for_unrepeatable(*connection->runner) && !repeatable) return nullptr;
+    if (usable && connection->runner_incarnation == connection->runner->incarnation()) {
       found->second.idle.pop_back();
       found->second.busy.insert(connection);
       connection->idle = false;
@@ -61,42 +61,42 @@
 }
 
 SimulatedConnectionPointer SimulatedConnectionPool::open(const std::string& key, RunnerConnections& runner,
-                                                         Duration closing, std::uint32_t bound) {
+                                                         Duration close_delay, std::uint32_t max_open) {
   auto connection = std::make_shared<SimulatedConnection>();
   connection->key = key;
   connection->runner = &runner;
-  connection->closing = closing;
+  connection->close_delay = close_delay;
   Pool& pool = pools_[key];
   pool.busy.insert(connection);
-  if (bound > 0 && pool.open() > bound && !pool.idle.empty()) close(pool.idle.front());
+  if (max_open > 0 && pool.open() > max_open && !pool.idle.empty()) close(pool.idle.front());
   return connection;
 }
 
-bool SimulatedConnectionPool::arrive(const SimulatedConnectionPointer& connection) {
+bool SimulatedConnectionPool::reach_runner(const SimulatedConnectionPointer& connection) {
   if (connection->runner->accept()) {
-    connection->runner_life = connection->runner->life();
+    connection->runner_incarnation = connection->runner->incarnation();
     return true;
   }
   close(connection);
   return false;
 }
 
-void SimulatedConnectionPool::keep(const SimulatedConnectionPointer& connection) {
+void SimulatedConnectionPool::make_idle(const SimulatedConnectionPointer& connection) {
   if (connection->closed) return;
   Pool& pool = pools_[connection->key];
   pool.busy.erase(connection);
   pool.idle.push_back(connection);
   connection->idle = true;
-  connection->used = world_.now();
-  world_.at(longest_idle(*connection->runner), life_,
-            [this, weak = std::weak_ptr(connection), used = connection->used] {
+  connection->idle_since = world_.now();
+  world_.at(max_idle(*connection->runner), life_,
+            [this, weak = std::weak_ptr(connection), idle_since = connection->idle_since] {
               const auto connection = weak.lock();
-              if (connection && connection->idle && connection->used == used) close(connection);
+              if (connection && connection->idle && connection->idle_since == idle_since) close(connection);
             });
 }
 
-void SimulatedConnectionPool::close(const SimulatedConnectionPointer& given) {
-  const SimulatedConnectionPointer connection = given;
+void SimulatedConnectionPool::close(const SimulatedConnectionPointer& connection_to_close) {
+  const SimulatedConnectionPointer connection = connection_to_close;
   if (connection->closed) return;
   connection->closed = true;
   connection->idle = false;
@@ -105,8 +105,8 @@
     found->second.busy.erase(connection);
     if (found->second.open() == 0) pools_.erase(found);
   }
-  if (connection->runner_life == 0) return;
-  world_.after(connection->closing, [connection] { connection->runner->release(connection->runner_life); });
+  if (connection->runner_incarnation == 0) return;
+  world_.after(connection->close_delay, [connection] { connection->runner->release(connection->runner_incarnation); });
 }
 
 void SimulatedConnectionPool::close_idle(const std::string& key) {
--- a/source/simulate/simulated_volume.cpp
+++ b/source/simulate/simulated_volume.cpp
@@ -1,4 +1,4 @@
-// Files as they are seen by a process, and as a loss of power leaves them.
+// The content of files as a process sees it, and after a loss of power.
 #include "simulate/simulated_volume.hpp"
 
 #include <algorithm>
@@ -6,13 +6,14 @@
 namespace mothwalk::simulate {
 
 namespace {
-enum class Kept { whole, torn, missing };
+// What a loss of power leaves of a write that was not synced.
+enum class WriteFate { complete, torn, missing };
 
-Kept chance(RandomSource& random) {
-  return static_cast<Kept>(random.below(3));
+WriteFate random_fate(RandomSource& random) {
+  return static_cast<WriteFate>(random.below(3));
 }
 
-void put(Bytes& content, std::size_t offset, StringView bytes) {
+void overwrite(Bytes& content, std::size_t offset, StringView bytes) {
   if (content.size() < offset + bytes.size()) content.resize(offset + bytes.size(), '\0');
   content.replace(offset, bytes.size(), bytes);
 }
@@ -53,38 +54,38 @@
 bool SimulatedVolume::write(const std::string& file, StringView bytes) {
   auto found = names_.find(file);
   if (!begin_operation() || found == names_.end()) return false;
-  File& to = *found->second;
+  File& target = *found->second;
   const std::size_t used = total();
   const std::size_t room = capacity == 0 ? bytes.size() : capacity - std::min(used, capacity);
   const StringView fitting = bytes.substr(0, std::min(room, bytes.size()));
-  to.unsynced.push_back(Change{to.content.size(), Bytes(fitting), false});
-  to.content += fitting;
+  target.unsynced.push_back(Change{target.content.size(), Bytes(fitting), false});
+  target.content += fitting;
   return fitting.size() == bytes.size();
 }
 
 bool SimulatedVolume::cut(const std::string& file, std::size_t size) {
   auto found = names_.find(file);
   if (!begin_operation() || found == names_.end()) return false;
-  File& of = *found->second;
-  of.content.resize(std::min(of.content.size(), size));
-  of.unsynced.push_back(Change{size, {}, true});
+  File& target = *found->second;
+  target.content.resize(std::min(target.content.size(), size));
+  target.unsynced.push_back(Change{size, {}, true});
   return true;
 }
 
 bool SimulatedVolume::sync(const std::string& file) {
   auto found = names_.find(file);
   if (!begin_operation() || sync_failing || found == names_.end()) return false;
-  File& of = *found->second;
-  for (const Change& change : of.unsynced) make(change, of.synced);
-  of.unsynced.clear();
+  File& target = *found->second;
+  for (const Change& change : target.unsynced) apply_change(change, target.synced);
+  target.unsynced.clear();
   return true;
 }
 
-void SimulatedVolume::make(const Change& change, Bytes& content) {
-  if (change.cut)
+void SimulatedVolume::apply_change(const Change& change, Bytes& content) {
+  if (change.truncates)
     content.resize(std::min(content.size(), change.offset));
   else
-    put(content, change.offset, change.bytes);
+    overwrite(content, change.offset, change.bytes);
 }
 
 bool SimulatedVolume::rename(const std::string& from, const std::string& to) {
@@ -105,17 +106,17 @@
 void SimulatedVolume::lose_power(File& file, RandomSource& random) {
   file.content = file.synced;
   for (const auto& change : file.unsynced) {
-    const Kept kept = chance(random);
-    if (kept == Kept::missing) continue;
-    if (change.cut) {
-      make(change, file.content);
+    const WriteFate fate = random_fate(random);
+    if (fate == WriteFate::missing) continue;
+    if (change.truncates) {
+      apply_change(change, file.content);
       continue;
     }
-    // Pages reach the disk in any order: of a torn write a part from anywhere is there, before it a hole.
+    // Pages reach the disk in any order: any part of a torn write may be stored, with a hole before it.
     const std::size_t size = change.bytes.size();
-    const std::size_t first = kept == Kept::torn ? random.below(size + 1) : 0;
-    const std::size_t length = kept == Kept::torn ? random.below(size - first + 1) : size;
-    put(file.content, change.offset + first, StringView(change.bytes).substr(first, length));
+    const std::size_t first = fate == WriteFate::torn ? random.below(size + 1) : 0;
+    const std::size_t length = fate == WriteFate::torn ? random.below(size - first + 1) : size;
+    overwrite(file.content, change.offset + first, StringView(change.bytes).substr(first, length));
   }
   file.synced = file.content;
   file.unsynced.clear();
--- a/source/simulate/simulated_volume.hpp
+++ b/source/simulate/simulated_volume.hpp
@@ -1,6 +1,5 @@
-// The files of a data folder in memory, as a loss of power leaves them: of the writes that were not synced each is
-// kept, torn or missing, and of the names that were changed without a sync of the folder each is kept or lost, all by
-// chance.
+// The files of a data folder, in memory, with the effects of a loss of power: each write that was not synced is
+// complete, torn or missing, and each change of a file name without a sync of the folder is kept or lost, at random.
 #pragma once
 #include <map>
 #include <optional>
@@ -9,6 +8,7 @@
 
 namespace mothwalk::simulate {
 
+// A data folder whose operations can be made to fail. It implements the interface that the daemon's disk code uses.
 class SimulatedVolume : public Volume {
  public:
   bool exists(const std::string& file) const override { return names_.contains(file); }
@@ -24,22 +24,22 @@
 
   void lose_power(RandomSource& random);
   void wipe();
-  void damage(const std::string& file, std::size_t at);  // flips bits of a synced byte
+  void damage(const std::string& file, std::size_t at);  // Flips bits of one byte.
   std::size_t size(const std::string& file) const;
-  std::size_t total() const;  // bytes of all files that have a name
+  std::size_t total() const;  // The total size of all named files in bytes.
 
-  bool unreadable = false;                // reads fail
-  bool failing = false;                   // nothing can be written or synced any more
-  bool sync_failing = false;              // writes succeed, syncs don't
-  std::size_t capacity = 0;               // bytes that all files may have together; zero: no bound
-  std::uint64_t operations = 0;           // writes, syncs and changes of names so far
-  std::uint64_t stop_after = UINT64_MAX;  // operations from this number on do nothing and fail
+  bool unreadable = false;                // All reads fail.
+  bool failing = false;                   // Nothing can be written or synced.
+  bool sync_failing = false;              // Writes succeed, but syncs fail.
+  std::size_t capacity = 0;               // The most bytes that all files may have together; 0 means no limit.
+  std::uint64_t operations = 0;           // The number of writes, syncs and name changes so far.
+  std::uint64_t stop_after = UINT64_MAX;  // Operations from this number on fail without an effect.
 
  private:
-  struct Change {  // not synced yet: bytes at an offset, or a cut
+  struct Change {  // A change that is not synced yet: bytes at an offset, or a truncation to `offset`.
     std::size_t offset = 0;
     Bytes bytes;
-    bool cut = false;
+    bool truncates = false;
   };
   struct File {
     Bytes content, synced;
@@ -48,11 +48,11 @@
   using FilePointer = std::shared_ptr<File>;
   struct NameChange {
     std::string name;
-    FilePointer file;  // none: the name is gone
+    FilePointer file;  // Null if the name was removed.
   };
   bool begin_operation() { return operations++ < stop_after && !failing; }
   void set_name(const std::string& name, FilePointer file);
-  static void make(const Change& change, Bytes& content);  // as a whole
+  static void apply_change(const Change& change, Bytes& content);  // Applies the whole change.
   static void lose_power(File& file, RandomSource& random);
 
   std::map<std::string, FilePointer> names_, synced_names_;
--- a/source/simulate/world.cpp
+++ b/source/simulate/world.cpp
@@ -1,4 +1,4 @@
-// The loop of events, the network's delays and cuts, timers and disks.
+// Implements the event loop, network delays and partitions, timers and disks.
 #include "simulate/world.hpp"
 
 #include <ctime>
@@ -16,8 +16,8 @@
 }  // namespace
 
 void World::at(Duration span, LifePointer life, Task task) {
-  queue_.push(
-      Event{now_ + std::max(span, Duration{0}), ++order_, std::move(life), std::make_shared<Task>(std::move(task))});
+  queue_.push(Event{now_ + std::max(span, Duration{0}), ++last_order_, std::move(life),
+                    std::make_shared<Task>(std::move(task))});
 }
 
 void World::run_until(TimePoint end) {
@@ -31,11 +31,11 @@
       continue;
     }
     ++events;
-    const std::uint64_t began = measuring && event.life ? processor_time() : 0;
+    const std::uint64_t started_at = measuring && event.life ? processor_time() : 0;
     (*event.task)();
     event.task.reset();
-    if (began > 0) event.life->processor += processor_time() - began;
-    graveyard.clear();
+    if (started_at > 0) event.life->processor += processor_time() - started_at;
+    destroyed_objects.clear();
   }
   now_ = std::max(now_, end);
 }
@@ -54,7 +54,7 @@
 
 Duration World::delay(const std::string& from_zone, const std::string& to_zone) {
   const std::int64_t base = shortest_delay(from_zone, to_zone).count();
-  // Now and then a packet is sent again.
+  // One message in 400 takes 20 ms longer, as if a packet had been retransmitted.
   const std::int64_t slow = random.below(400) == 0 ? 20000 : 0;
   return Duration(base + static_cast<std::int64_t>(random.below(static_cast<std::size_t>(base))) + slow);
 }
@@ -63,32 +63,32 @@
                    const std::string& to_zone) const {
   if (cuts_.empty()) return false;
   for (const auto& sender : {from, from_zone, std::string("*")})
-    for (const auto& taker : {to, to_zone, std::string("*")})
-      if (cuts_.contains({sender, taker})) return true;
+    for (const auto& receiver : {to, to_zone, std::string("*")})
+      if (cuts_.contains({sender, receiver})) return true;
   return false;
 }
 
-void World::write(json::object line) {
+void World::write_ledger(json::object line) {
   line["at"] = milliseconds();
   ledger_.push_back(std::move(line));
 }
 
-void World::history(const std::string& line) {
-  if (story_.size() < 2000) story_.push_back(std::to_string(milliseconds()) + " ms  " + line);
+void World::log_event(const std::string& line) {
+  if (event_log_.size() < 2000) event_log_.push_back(std::to_string(milliseconds()) + " ms  " + line);
 }
 
-void World::point(const std::string& kind, const std::string& place) {
+void World::pass_fault_point(const std::string& kind, const std::string& machine_name) {
   const std::uint64_t number = ++points[kind];
   if (kind != armed_kind || number != armed) return;
-  // The strike comes as an event of its own, so that the one who passed the point is off the stack.
-  after(Duration{0}, [this, place] { strike(place); });
+  // The fault is injected in an event of its own, because the machine that passed the point is still on the stack.
+  after(Duration{0}, [this, machine_name] { strike(machine_name); });
 }
 
 Timers::Id SimulatedTimers::after(Duration span, Task task) {
-  const Id id = ++last_;
-  live_->insert(id);
-  world_.at(span, life_, [live = live_, id, task = std::move(task)] {
-    if (live->erase(id) > 0) task();
+  const Id id = ++last_id_;
+  active_->insert(id);
+  world_.at(span, life_, [active = active_, id, task = std::move(task)] {
+    if (active->erase(id) > 0) task();
   });
   return id;
 }
@@ -98,56 +98,58 @@
   busy_ = false;
   orders_.clear();
   syncing_.clear();
-  files_ = std::make_unique<LogFiles>(volume_);
-  files_->open();
+  log_files_ = std::make_unique<LogFiles>(volume_);
+  log_files_->open();
 }
 
 Result<Bytes> SimulatedDisk::read_all() {
-  if (unreadable > 0) return Error{ErrorKind::damaged, "data_folder", "the records can't be read", "check the disk"};
-  return files_->read_all();
+  if (unreadable_starts > 0)
+    return Error{ErrorKind::damaged, "data_folder", "the records can't be read", "check the disk"};
+  return log_files_->read_all();
 }
 
-void SimulatedDisk::point(const DiskOrder& order, bool done) {
-  if (order.kind == DiskOrder::Kind::append) world_.point(done ? "synced" : "append", place_);
-  if (order.kind == DiskOrder::Kind::write_next) world_.point(done ? "rewritten" : "rewrite", place_);
-  if (order.kind == DiskOrder::Kind::switch_to_next) world_.point(done ? "switched" : "switch", place_);
+void SimulatedDisk::pass_fault_point(const DiskOrder& order, bool done) {
+  if (order.kind == DiskOrder::Kind::append) world_.pass_fault_point(done ? "synced" : "append", machine_name_);
+  if (order.kind == DiskOrder::Kind::write_next) world_.pass_fault_point(done ? "rewritten" : "rewrite", machine_name_);
+  if (order.kind == DiskOrder::Kind::switch_to_next)
+    world_.pass_fault_point(done ? "switched" : "switch", machine_name_);
 }
 
 void SimulatedDisk::order(DiskOrder order) {
-  point(order, false);
+  pass_fault_point(order, false);
   orders_.push_back(std::move(order));
-  if (!busy_) begin();
+  if (!busy_) begin_sync();
 }
 
-// One sync for all that has been ordered until it begins, as the daemon's disk does it.
-void SimulatedDisk::begin() {
+// One sync covers all orders that were given before it begins, as in the daemon's own disk (host/file_disk.cpp).
+void SimulatedDisk::begin_sync() {
   busy_ = true;
   syncing_.swap(orders_);
   world_.at(Duration(sync_time.count() / 2 +
                      static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(sync_time.count())))),
-            life_, [this] { complete(); });
+            life_, [this] { complete_sync(); });
 }
 
-void SimulatedDisk::complete() {
-  if (stalled) return world_.at(std::chrono::milliseconds(50), life_, [this] { complete(); });
+void SimulatedDisk::complete_sync() {
+  if (stalled) return world_.at(std::chrono::milliseconds(50), life_, [this] { complete_sync(); });
   const LifePointer life = life_;
   const std::deque<DiskOrder> executed = std::exchange(syncing_, {});
-  const std::vector<bool> results = files_->execute(executed);
+  const std::vector<bool> results = log_files_->execute(executed);
   for (std::size_t index = 0; index < executed.size(); ++index) {
-    if (results[index]) point(executed[index], true);
+    if (results[index]) pass_fault_point(executed[index], true);
     executed[index].done(results[index]);
     if (!life->alive) return;
   }
   busy_ = false;
-  if (!orders_.empty()) begin();
+  if (!orders_.empty()) begin_sync();
 }
 
-// Of the sync under way the first few steps may have been made; what they left unsynced is lost in any part.
-void SimulatedDisk::tear() {
-  constexpr std::size_t steps_of_an_order = 4;
+// A random number of the first steps of the sync in progress is executed; then any part of the unsynced data is lost.
+void SimulatedDisk::crash() {
+  constexpr std::size_t steps_per_order = 4;
   if (!syncing_.empty()) {
-    volume_.stop_after = volume_.operations + world_.random.below(steps_of_an_order * syncing_.size() + 1);
-    files_->execute(std::exchange(syncing_, {}));
+    volume_.stop_after = volume_.operations + world_.random.below(steps_per_order * syncing_.size() + 1);
+    log_files_->execute(std::exchange(syncing_, {}));
   }
   volume_.lose_power(world_.random);
 }
--- a/source/simulate/world.hpp
+++ b/source/simulate/world.hpp
@@ -1,5 +1,6 @@
-// The simulated world: virtual time, one queue of events, a seeded network, and the ledger that the judge reads. All
-// duties of all machines run on it as the very objects that the daemon runs.
+// The simulated environment: virtual time, one event queue, a network whose delays and losses follow from a seed,
+// disks, and the ledger that the judge (stand_ins/judge.hpp) reads. The components of all simulated daemons run on it,
+// and they are the same objects that the real daemon runs.
 #pragma once
 #include <deque>
 #include <queue>
@@ -11,14 +12,17 @@
 
 namespace mothwalk::simulate {
 
-// One life of a process: what belongs to it happens only while it lives, and not while it is frozen.
+// One run of a simulated process. Events that belong to it are dropped once it has died, and are deferred while it is
+// frozen (suspended).
 struct Life {
   bool alive = true, frozen = false;
-  std::uint64_t processor = 0;  // nanoseconds of real processor time, while the world measures
+  std::uint64_t processor = 0;  // Real processor time in nanoseconds; it is counted only while World::measuring is set.
+  // The events that became due while the process was frozen, each with its position in the event order.
   std::vector<std::pair<std::uint64_t, Task>> deferred;
 };
 using LifePointer = std::shared_ptr<Life>;
 
+// The SplitMix64 generator, so that a run depends on its seed alone.
 class SeededRandom : public RandomSource {
  public:
   explicit SeededRandom(std::uint64_t seed) : state_(seed) {}
@@ -35,49 +39,61 @@
   std::uint64_t state_;
 };
 
+// Runs all events of a simulation in one thread. Events due at the same time run in the order in which they were
+// scheduled, so a run is reproduced exactly by its seed.
 class World {
  public:
   explicit World(std::uint64_t seed) : random(seed) {}
   TimePoint now() const { return now_; }
   std::int64_t milliseconds() const { return now_.microseconds / 1000; }
+  // Schedules a task for the process `life` after the given span; with a null `life` it runs in any case.
   void at(Duration span, LifePointer life, Task task);
   void after(Duration span, Task task) { at(span, nullptr, std::move(task)); }
   void run_until(TimePoint end);
   void freeze(const LifePointer& life) { life->frozen = true; }
+  // Resumes a frozen process: its deferred events run now, in their original order.
   void wake(const LifePointer& life);
 
-  // The network. Places are machines and runners; a cut names groups of zones or single places, one way or both.
+  // The network between machines and runners. The delay of one message is random; shortest_delay is its lower bound.
+  // `cut` blocks messages in one direction. Each end is the name of a machine, a runner or a zone, or "*" for all.
+  // `mend` removes all blocks.
   Duration delay(const std::string& from_zone, const std::string& to_zone);
   static Duration shortest_delay(const std::string& from_zone, const std::string& to_zone);
   void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
   void mend() { cuts_.clear(); }
   bool is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
               const std::string& to_zone) const;
-  // What was sent between machines, by message, and whether each life's processor time is counted.
+  // The messages sent between machines and their size, by message name, counted while `measuring` is set. Then the
+  // processor time of each process is counted as well.
   struct Traffic {
     std::uint64_t messages = 0, bytes = 0;
   };
   std::map<std::string, Traffic> traffic;
   bool measuring = false;
-  double loss = 0;     // share of messages between machines that vanish
-  double repeats = 0;  // share of messages between machines that come a second time, behind later ones
+  double loss_fraction = 0;  // Fraction of the messages between machines that are lost.
+  // Fraction of the messages between machines that are delivered twice, the second time possibly after later messages.
+  double repeats = 0;
 
-  void write(json::object line);
+  // Appends a line with the current time to the ledger.
+  void write_ledger(json::object line);
   const std::vector<json::object>& ledger() const { return ledger_; }
-  void history(const std::string& line);
-  const std::vector<std::string>& story() const { return story_; }
-
-  // Numbered points of each kind: messages sent and taken, appends, syncs, rewrites, attempts. The armed number of the
-  // armed kind strikes.
-  void point(const std::string& kind, const std::string& place);
-  std::map<std::string, std::uint64_t> points;
+  // Adds a line to the log of events that is printed for a failed run; it has at most 2000 lines.
+  void log_event(const std::string& line);
+  const std::vector<std::string>& story() const { return event_log_; }
+
+  // Fault points: steps at which a fault can be injected (a message sent or received, a disk append, sync or rewrite,
+  // an attempt at a runner), numbered separately for each kind. When the point `armed` of the kind `armed_kind` is
+  // passed, `strike` is called with the name of the machine that passed it.
+  void pass_fault_point(const std::string& kind, const std::string& machine_name);
+  std::map<std::string, std::uint64_t> points;  // The number of points passed, by kind.
   std::string armed_kind;
   std::uint64_t armed = 0;
   std::function<void(const std::string&)> strike;
 
   SeededRandom random;
   std::uint64_t events = 0;
-  std::vector<std::shared_ptr<void>> graveyard;  // what died inside its own event; cleared between events
+  // Objects that were removed while one of their own functions may be on the stack. They are destroyed between events.
+  std::vector<std::shared_ptr<void>> destroyed_objects;
 
  private:
   struct Event {
@@ -89,38 +105,42 @@
   };
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
   TimePoint now_{1};
-  std::uint64_t order_ = 0;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::uint64_t last_order_ = 0;
+  std::set<std::pair<std::string, std::string>> cuts_;  // Blocked directions: sender and receiver.
   std::vector<json::object> ledger_;
-  std::vector<std::string> story_;
+  std::vector<std::string> event_log_;
 };
 
+// Timers of one simulated process, on virtual time.
 class SimulatedTimers : public Timers {
  public:
   SimulatedTimers(World& world, LifePointer life) : world_(world), life_(std::move(life)) {}
   TimePoint now() const override { return world_.now(); }
   Id after(Duration span, Task task) override;
-  void cancel(Id id) override { live_->erase(id); }
+  void cancel(Id id) override { active_->erase(id); }
 
  private:
   World& world_;
   LifePointer life_;
-  std::shared_ptr<std::set<Id>> live_ = std::make_shared<std::set<Id>>();
-  Id last_ = 0;
+  std::shared_ptr<std::set<Id>> active_ = std::make_shared<std::set<Id>>();
+  Id last_id_ = 0;
 };
 
-// A disk outlives the processes that use it. A process that dies leaves it as a loss of power does: any part of what
-// was not synced may be there or not.
+// The disk of a machine. It outlives the processes that use it. When a process dies, the disk is left as after a loss
+// of power: any part of the data that was not synced may be missing.
 class SimulatedDisk : public Disk {
  public:
-  SimulatedDisk(World& world, std::string place) : world_(world), place_(std::move(place)) {}
+  SimulatedDisk(World& world, std::string machine_name) : world_(world), machine_name_(std::move(machine_name)) {}
+  // Opens the disk for a new process.
   void own(LifePointer life);
   Result<Bytes> read_all() override;
   void order(DiskOrder order) override;
-  void tear();  // the process has died
+  void crash();  // Called when the process has died.
   void wipe() { volume_.wipe(); }
+  // Corrupts one byte at a third of the record file.
   void damage() { volume_.damage("records", size() / 3); }
-  // While it is full or broken nothing can be written. Full is a state, and so is a broken drive until it is replaced.
+  // While the disk fails (because it is full or the drive is broken), nothing can be written. The state lasts until it
+  // is reset.
   void set_failing(bool failing) { volume_.failing = failing; }
   bool failing() const { return volume_.failing; }
   void set_capacity(std::size_t bytes) { volume_.capacity = bytes; }
@@ -128,20 +148,20 @@
   std::size_t total() const { return volume_.total(); }
 
   Duration sync_time = std::chrono::microseconds(400);
-  bool stalled = false;
-  int unreadable = 0;  // so many starts find a disk that can't be read
+  bool stalled = false;       // While set, no sync completes.
+  int unreadable_starts = 0;  // The number of coming starts at which the disk can't be read.
 
  private:
-  void begin();
-  void complete();
-  void point(const DiskOrder& order, bool done);
+  void begin_sync();
+  void complete_sync();
+  void pass_fault_point(const DiskOrder& order, bool done);
   World& world_;
-  std::string place_;
+  std::string machine_name_;
   LifePointer life_;
   SimulatedVolume volume_;
-  std::unique_ptr<LogFiles> files_;
+  std::unique_ptr<LogFiles> log_files_;
   bool busy_ = false;
-  std::deque<DiskOrder> orders_, syncing_;  // waiting, and in the sync under way
+  std::deque<DiskOrder> orders_, syncing_;  // Orders that wait, and orders in the sync in progress.
 };
 
 }  // namespace mothwalk::simulate
