--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -426,8 +426,8 @@
   });
 }
 
-void SimulatedCluster::query_retirement(const std::string& roster, const Address& holder,
-                                        std::function<void(RetirementReply)> then) {
+void SimulatedCluster::retirement(const std::string& roster, const Address& holder,
+                                  std::function<void(RetirementReply)> then) {
   StoreClient* client = any_alive().client();
   client->ask_owner<Retirement>(roster, Retirement{roster, holder, {}}, world.now() + std::chrono::seconds(2), false,
                                 [then](Result<RetirementReply> result) {
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -123,7 +123,7 @@
   std::size_t max_client_backlog = 0;  // The most bytes of a response that waited for a client to read them.
   std::size_t longest_message = 0;     // The longest message between machines, in bytes.
   // Requests the progress of a storage node's retirement from any daemon, as an operator does.
-  void query_retirement(const std::string& roster, const Address& holder, std::function<void(RetirementReply)> then);
+  void retirement(const std::string& roster, const Address& holder, std::function<void(RetirementReply)> then);
   // Starts a crashed runner again; it is slower than usual (cold) for the given time.
   void restart_runner(RunnerModel& runner, Duration cold);
   bool ready() const { return ready_; }
--- a/source/simulate/loss_scenarios.cpp
+++ b/source/simulate/loss_scenarios.cpp
@@ -126,7 +126,7 @@
     auto self = weak.lock();
     if (!self || run->lost_for_good.contains(&machine)) return;
     const std::string roster = run->keeps == "lots" ? "roster/lots" : "roster";
-    run->cluster.query_retirement(roster, machine.address, [run, &machine](RetirementReply reply) {
+    run->cluster.retirement(roster, machine.address, [run, &machine](RetirementReply reply) {
       if (!reply.complete || run->lost_for_good.contains(&machine)) return;
       run->cluster.world.log_event("the retirement of " + machine.name + " is complete");
       remove_permanently(run, machine);
