--- a/source/stand_ins/caller.cpp
+++ b/source/stand_ins/caller.cpp
@@ -29,36 +29,36 @@
   MOTHWALK_FIELDS(targets, ledger, length, settle, most, streams, lots)
 };
 
-class Client;
+class LoadGenerator;
 
 // One HTTP call with pieces.
-class Call : public std::enable_shared_from_this<Call> {
+class HttpCall : public std::enable_shared_from_this<HttpCall> {
  public:
-  using Piece = std::function<void(StringView)>;
-  using Over = std::function<void(bool whole, bool connected)>;
-  Call(boost::asio::io_context& context, const Address& to) : stream_(context), to_(to) {}
+  using BodyHandler = std::function<void(StringView)>;
+  using EndHandler = std::function<void(bool complete, bool connected)>;
+  HttpCall(boost::asio::io_context& context, const Address& target) : stream_(context), target_(target) {}
   http::request<http::string_body> request;
   std::optional<http::response_parser<http::buffer_body>> parser;
-  Piece piece = [](StringView) {
+  BodyHandler on_body = [](StringView) {
   };
-  Over over;
+  EndHandler on_end;
 
   void start(Duration limit) {
     request.version(11);
-    request.set(http::field::host, to_.text);
+    request.set(http::field::host, target_.text);
     request.set(http::field::connection, "close");
     request.prepare_payload();
     stream_.expires_after(limit);
-    stream_.async_connect(*endpoint_of(to_), [self = shared_from_this()](const beast::error_code& error) {
+    stream_.async_connect(*endpoint_of(target_), [self = shared_from_this()](const beast::error_code& error) {
       if (error) return self->finish(false);
       self->connected_ = true;
-      http::async_write(self->stream_, self->request, [self](const beast::error_code& failed, std::size_t) {
-        if (failed) return self->finish(false);
+      http::async_write(self->stream_, self->request, [self](const beast::error_code& write_error, std::size_t) {
+        if (write_error) return self->finish(false);
         self->parser.emplace();
         self->parser->body_limit(boost::none);
         http::async_read_header(self->stream_, self->buffer_, *self->parser,
-                                [self](const beast::error_code& ended, std::size_t) {
-                                  if (ended) return self->finish(false);
+                                [self](const beast::error_code& read_error, std::size_t) {
+                                  if (read_error) return self->finish(false);
                                   if (self->parser->is_done()) return self->finish(true);
                                   self->read();
                                 });
@@ -68,43 +68,44 @@
 
  private:
   void read() {
-    parser->get().body().data = space_.data();
-    parser->get().body().size = space_.size();
+    parser->get().body().data = read_buffer_.data();
+    parser->get().body().size = read_buffer_.size();
     http::async_read_some(stream_, buffer_, *parser, [self = shared_from_this()](beast::error_code error, std::size_t) {
       if (error == http::error::need_buffer) error = {};
-      const std::size_t count = self->space_.size() - self->parser->get().body().size;
-      if (count > 0) self->piece(StringView(self->space_.data(), count));
+      const std::size_t count = self->read_buffer_.size() - self->parser->get().body().size;
+      if (count > 0) self->on_body(StringView(self->read_buffer_.data(), count));
       if (error) return self->finish(false);
       if (self->parser->is_done()) return self->finish(true);
       self->read();
     });
   }
-  void finish(bool whole) {
-    if (over) over(whole, connected_);
-    over = nullptr;
-    piece = [](StringView) {
+  void finish(bool complete) {
+    if (on_end) on_end(complete, connected_);
+    on_end = nullptr;
+    on_body = [](StringView) {
     };
   }
   beast::tcp_stream stream_;
-  Address to_;
+  Address target_;
   beast::flat_buffer buffer_;
-  std::array<char, 16384> space_{};
+  std::array<char, 16384> read_buffer_{};
   bool connected_ = false;
 };
 
-class Client {
+class LoadGenerator {
  public:
-  Client(boost::asio::io_context& context, Plan plan)
+  LoadGenerator(boost::asio::io_context& context, Plan plan)
       : context_(context),
         plan_(std::move(plan)),
         ledger_(plan_.ledger),
-        state_(1 + static_cast<std::uint64_t>(::getpid())) {}
+        random_state_(1 + static_cast<std::uint64_t>(::getpid())) {}
 
   void start() {
-    end_ = Ledger::milliseconds_now() + plan_.length.count() / 1000;
+    load_ends_at_ = Ledger::milliseconds_now() + plan_.length.count() / 1000;
     for (const auto& load : plan_.streams)
-      pace(load.rate, [this, &load](std::uint64_t number) { send_stream(load, number); });
-    for (const auto& load : plan_.lots) pace(load.rate, [this, &load](std::uint64_t number) { hand_in(load, number); });
+      schedule_arrivals(load.rate, [this, &load](std::uint64_t number) { send_stream(load, number); });
+    for (const auto& load : plan_.lots)
+      schedule_arrivals(load.rate, [this, &load](std::uint64_t number) { create_lot(load, number); });
   }
 
  private:
@@ -113,39 +114,39 @@
     const LotLoad* load;
     std::string body;
     bool acknowledged = false, cancelled = false;
-    std::vector<std::string> seen;  // results by position, as first read
-    std::int64_t handed_in = 0, give_up = 0, acknowledged_at = 0;
-    std::uint32_t tries = 0;
+    std::vector<std::string> listed_results;  // results by position, as first read
+    std::int64_t submitted_at = 0, retry_until = 0, acknowledged_at = 0;
+    std::uint32_t attempts = 0;
   };
 
-  double uniform() {
-    state_ ^= state_ << 13;
-    state_ ^= state_ >> 7;
-    state_ ^= state_ << 17;
-    return static_cast<double>(state_ >> 11) / 9007199254740992.0;
+  double draw_uniform() {
+    random_state_ ^= random_state_ << 13;
+    random_state_ ^= random_state_ >> 7;
+    random_state_ ^= random_state_ << 17;
+    return static_cast<double>(random_state_ >> 11) / 9007199254740992.0;
   }
-  const Address& target() {
-    return plan_.targets[static_cast<std::size_t>(uniform() * static_cast<double>(plan_.targets.size())) %
+  const Address& pick_target() {
+    return plan_.targets[static_cast<std::size_t>(draw_uniform() * static_cast<double>(plan_.targets.size())) %
                          plan_.targets.size()];
   }
-  void later(double milliseconds, std::function<void()> then) {
+  void run_after(double milliseconds, std::function<void()> callback) {
     auto timer = std::make_shared<boost::asio::steady_timer>(
         context_, std::chrono::microseconds(static_cast<std::int64_t>(milliseconds * 1000)));
-    timer->async_wait([timer, then](const boost::system::error_code&) { then(); });
+    timer->async_wait([timer, callback](const boost::system::error_code&) { callback(); });
   }
   // Open loop: the next arrival does not wait for the last answer.
-  void pace(double rate, std::function<void(std::uint64_t)> send, std::uint64_t number = 0) {
+  void schedule_arrivals(double rate, std::function<void(std::uint64_t)> send, std::uint64_t number = 0) {
     if (rate <= 0) return;
-    later(-std::log(1.0 - uniform()) * 1000.0 / rate, [this, rate, send, number] {
-      if (Ledger::milliseconds_now() >= end_ || (plan_.most > 0 && number >= plan_.most)) return;
+    run_after(-std::log(1.0 - draw_uniform()) * 1000.0 / rate, [this, rate, send, number] {
+      if (Ledger::milliseconds_now() >= load_ends_at_ || (plan_.most > 0 && number >= plan_.most)) return;
       send(number);
-      pace(rate, send, number + 1);
+      schedule_arrivals(rate, send, number + 1);
     });
   }
 
   void send_stream(const StreamLoad& load, std::uint64_t number) {
     const std::string id = load.name + "-" + std::to_string(::getpid()) + "-" + std::to_string(number);
-    auto call = std::make_shared<Call>(context_, target());
+    auto call = std::make_shared<HttpCall>(context_, pick_target());
     call->request.method(http::verb::post);
     call->request.target(load.path);
     call->request.set("X-Request-Id", id);
@@ -153,43 +154,44 @@
     std::string body;
     if (load.prefix_bytes > 0) {
       const std::string word =
-          load.name + "-prefix-" + std::to_string(static_cast<std::uint32_t>(uniform() * load.prefixes)) + " ";
+          load.name + "-prefix-" + std::to_string(static_cast<std::uint32_t>(draw_uniform() * load.prefixes)) + " ";
       while (body.size() < load.prefix_bytes) body += word;
       body.resize(load.prefix_bytes);
     }
     while (body.size() < load.prefix_bytes + load.body_bytes) body += id + " ";
     call->request.body() = std::move(body);
-    const std::int64_t sent = Ledger::milliseconds_now();
+    const std::int64_t sent_at = Ledger::milliseconds_now();
     auto text = std::make_shared<std::string>();
-    auto first = std::make_shared<std::int64_t>(0);
-    call->piece = [text, first](StringView piece) {
-      if (*first == 0) *first = Ledger::milliseconds_now();
-      text->append(piece);
+    auto first_piece_at = std::make_shared<std::int64_t>(0);
+    call->on_body = [text, first_piece_at](StringView chunk) {
+      if (*first_piece_at == 0) *first_piece_at = Ledger::milliseconds_now();
+      text->append(chunk);
     };
-    call->over = [this, &load, id, sent, text, first, weak = std::weak_ptr(call)](bool whole, bool connected) {
-      auto done = weak.lock();
+    call->on_end = [this, &load, id, sent_at, text, first_piece_at, weak_call = std::weak_ptr(call)](bool complete,
+                                                                                                     bool connected) {
+      auto finished_call = weak_call.lock();
       json::object line{{"what", "request"},
                         {"id", id},
                         {"load", load.name},
                         {"repeatable", load.repeatable},
-                        {"sent", sent},
-                        {"first", *first == 0 ? 0 : *first - sent},
-                        {"took", Ledger::milliseconds_now() - sent}};
+                        {"sent", sent_at},
+                        {"first", *first_piece_at == 0 ? 0 : *first_piece_at - sent_at},
+                        {"took", Ledger::milliseconds_now() - sent_at}};
       std::string outcome = connected ? "broken" : "unreachable", fault, run;
-      if (done && done->parser && done->parser->is_header_done()) {
-        const auto& head = done->parser->get();
-        line["status"] = head.result_int();
-        const std::string given(head["X-Mothwalk-Outcome"]);
-        if (given == "refused" || given == "unknown") {
-          outcome = given;
-          line["retry_after"] = std::string(head["Retry-After"]);
+      if (finished_call && finished_call->parser && finished_call->parser->is_header_done()) {
+        const auto& response = finished_call->parser->get();
+        line["status"] = response.result_int();
+        const std::string outcome_header(response["X-Mothwalk-Outcome"]);
+        if (outcome_header == "refused" || outcome_header == "unknown") {
+          outcome = outcome_header;
+          line["retry_after"] = std::string(response["Retry-After"]);
           line["reason"] = *text;
-        } else if (whole && given == "answer") {
+        } else if (complete && outcome_header == "answer") {
           outcome = "answer";
         }
-        if (given == "answer" && head.result_int() == 200)
-          fault = load.pieces > 0 ? check_pieces(id, load.pieces, *text, whole, run)
-                  : whole         ? check_plain(id, *text, run)
+        if (outcome_header == "answer" && response.result_int() == 200)
+          fault = load.pieces > 0 ? check_streamed_response(id, load.pieces, *text, complete, run)
+                  : complete      ? check_plain_response(id, *text, run)
                                   : "";
       }
       line["outcome"] = outcome;
@@ -201,28 +203,28 @@
   }
 
   // Each line is "id run index count"; the lines of one answer come from one run, in order, and all where it is whole.
-  static std::string check_pieces(const std::string& id, std::uint32_t pieces, const std::string& text, bool whole,
-                                  std::string& run) {
+  static std::string check_streamed_response(const std::string& id, std::uint32_t pieces, const std::string& text,
+                                             bool complete, std::string& run) {
     std::istringstream lines(text);
     std::string line;
-    std::uint32_t next = 0;
+    std::uint32_t expected_index = 0;
     while (std::getline(lines, line)) {
-      if (lines.eof() && !whole) break;
-      std::istringstream words(line);
-      std::string got_id, got_run;
+      if (lines.eof() && !complete) break;
+      std::istringstream fields(line);
+      std::string piece_id, piece_run;
       std::uint32_t index = 0, count = 0;
-      if (!(words >> got_id >> got_run >> index >> count)) return "garbled piece: " + line;
-      if (got_id != id) return "another's answer: " + line;
-      if (run.empty()) run = got_run;
-      if (got_run != run) return "spliced runs: " + run + " and " + got_run;
-      if (index != next) return index < next ? "repeated piece" : "lost piece";
-      ++next;
+      if (!(fields >> piece_id >> piece_run >> index >> count)) return "garbled piece: " + line;
+      if (piece_id != id) return "another's answer: " + line;
+      if (run.empty()) run = piece_run;
+      if (piece_run != run) return "spliced runs: " + run + " and " + piece_run;
+      if (index != expected_index) return index < expected_index ? "repeated piece" : "lost piece";
+      ++expected_index;
     }
-    if (whole && next != pieces)
-      return "a partial answer looks whole: " + std::to_string(next) + " of " + std::to_string(pieces);
+    if (complete && expected_index != pieces)
+      return "a partial answer looks whole: " + std::to_string(expected_index) + " of " + std::to_string(pieces);
     return "";
   }
-  static std::string check_plain(const std::string& id, const std::string& text, std::string& run) {
+  static std::string check_plain_response(const std::string& id, const std::string& text, std::string& run) {
     auto parsed = parse_json(text);
     if (error_of(parsed)) return "garbled answer";
     const auto& value = std::get<json::value>(parsed);
@@ -232,24 +234,27 @@
     return "";
   }
 
-  void simple(const std::string& method, const std::string& target_path, const std::string& body,
-              std::function<void(int, std::string)> then) {
-    auto call = std::make_shared<Call>(context_, target());
+  void send_request(const std::string& method, const std::string& target_path, const std::string& body,
+                    std::function<void(int, std::string)> callback) {
+    auto call = std::make_shared<HttpCall>(context_, pick_target());
     call->request.method_string(method);
     call->request.target(target_path);
     call->request.body() = body;
     auto text = std::make_shared<std::string>();
-    call->piece = [text](StringView piece) {
-      text->append(piece);
+    call->on_body = [text](StringView chunk) {
+      text->append(chunk);
     };
-    call->over = [text, then, weak = std::weak_ptr(call)](bool whole, bool) {
-      auto done = weak.lock();
-      then(whole && done && done->parser ? static_cast<int>(done->parser->get().result_int()) : 0, *text);
+    call->on_end = [text, callback, weak_call = std::weak_ptr(call)](bool complete, bool) {
+      auto finished_call = weak_call.lock();
+      callback(complete && finished_call && finished_call->parser
+                   ? static_cast<int>(finished_call->parser->get().result_int())
+                   : 0,
+               *text);
     };
     call->start(std::chrono::seconds(8));
   }
 
-  void hand_in(const LotLoad& load, std::uint64_t number) {
+  void create_lot(const LotLoad& load, std::uint64_t number) {
     auto lot = std::make_shared<LotState>();
     lot->id = load.name + "-" + std::to_string(::getpid()) + "-" + std::to_string(number);
     lot->load = &load;
@@ -259,15 +264,15 @@
           json::value(json::string(lot->id + "/" + std::to_string(item) + " " + std::string(load.item_bytes, 'x'))));
     lot->body = json::serialize(
         json::object{{"lane", load.lane}, {"deadline", load.deadline.count() / 1000}, {"items", items}});
-    lot->handed_in = Ledger::milliseconds_now();
-    lot->give_up = end_ + plan_.settle.count() / 1000;
-    submit(lot);
+    lot->submitted_at = Ledger::milliseconds_now();
+    lot->retry_until = load_ends_at_ + plan_.settle.count() / 1000;
+    submit_lot(lot);
     if (load.cancel_every > 0 && number % load.cancel_every == load.cancel_every - 1)
-      later(300, [this, lot] { cancel(lot); });
+      run_after(300, [this, lot] { cancel_lot(lot); });
   }
 
-  void submit(std::shared_ptr<LotState> lot) {
-    simple("PUT", "/lots/" + lot->id, lot->body, [this, lot](int status, std::string text) {
+  void submit_lot(std::shared_ptr<LotState> lot) {
+    send_request("PUT", "/lots/" + lot->id, lot->body, [this, lot](int status, std::string text) {
       if (status == 200) {
         lot->acknowledged = true;
         lot->acknowledged_at = Ledger::milliseconds_now();
@@ -275,66 +280,70 @@
                        {"id", lot->id},
                        {"items", lot->load->items},
                        {"repeatable", lot->load->repeatable},
-                       {"took", lot->acknowledged_at - lot->handed_in},
-                       {"tries", lot->tries}});
-        return poll(lot);
+                       {"took", lot->acknowledged_at - lot->submitted_at},
+                       {"tries", lot->attempts}});
+        return poll_results(lot);
       }
       ledger_.write({{"what", "lot_try"}, {"id", lot->id}, {"status", status}, {"reason", text}});
       // Refused, unknown or unreachable: the same id and body again settles it.
-      if (Ledger::milliseconds_now() < lot->give_up && ++lot->tries < 200)
-        return later(300, [this, lot] { submit(lot); });
+      if (Ledger::milliseconds_now() < lot->retry_until && ++lot->attempts < 200)
+        return run_after(300, [this, lot] { submit_lot(lot); });
       ledger_.write({{"what", "lot_given_up"}, {"id", lot->id}});
     });
   }
 
-  void cancel(std::shared_ptr<LotState> lot) {
+  void cancel_lot(std::shared_ptr<LotState> lot) {
     if (!lot->acknowledged) return;
-    simple("DELETE", "/lots/" + lot->id, "", [this, lot](int status, std::string) {
+    send_request("DELETE", "/lots/" + lot->id, "", [this, lot](int status, std::string) {
       if (status == 200)
         ledger_.write({{"what", "cancelled"}, {"id", lot->id}});
-      else if (Ledger::milliseconds_now() < lot->give_up)
-        later(300, [this, lot] { cancel(lot); });
+      else if (Ledger::milliseconds_now() < lot->retry_until)
+        run_after(300, [this, lot] { cancel_lot(lot); });
     });
   }
 
-  void poll(std::shared_ptr<LotState> lot) {
-    simple("GET", "/lots/" + lot->id + "/results?after=" + std::to_string(lot->seen.size()) + "&limit=500", "",
-           [this, lot](int status, std::string text) {
-             if (status == 404) ledger_.write({{"what", "lot_vanished"}, {"id", lot->id}});
-             if (status == 200) take(lot, text, lot->seen.size());
-             if (status == 200 && lot->seen.size() >= lot->load->items) return check_again(lot);
-             if (Ledger::milliseconds_now() >= lot->give_up) {
-               ledger_.write({{"what", "lot_unfinished"},
-                              {"id", lot->id},
-                              {"results", lot->seen.size()},
-                              {"items", lot->load->items}});
-               return;
-             }
-             later(250, [this, lot] { poll(lot); });
-           });
+  void poll_results(std::shared_ptr<LotState> lot) {
+    send_request("GET",
+                 "/lots/" + lot->id + "/results?after=" + std::to_string(lot->listed_results.size()) + "&limit=500", "",
+                 [this, lot](int status, std::string text) {
+                   if (status == 404) ledger_.write({{"what", "lot_vanished"}, {"id", lot->id}});
+                   if (status == 200) record_results(lot, text, lot->listed_results.size());
+                   if (status == 200 && lot->listed_results.size() >= lot->load->items) return read_results_again(lot);
+                   if (Ledger::milliseconds_now() >= lot->retry_until) {
+                     ledger_.write({{"what", "lot_unfinished"},
+                                    {"id", lot->id},
+                                    {"results", lot->listed_results.size()},
+                                    {"items", lot->load->items}});
+                     return;
+                   }
+                   run_after(250, [this, lot] { poll_results(lot); });
+                 });
   }
 
-  void take(std::shared_ptr<LotState> lot, const std::string& text, std::size_t from) {
+  void record_results(std::shared_ptr<LotState> lot, const std::string& text, std::size_t first_position) {
     auto parsed = parse_json(text);
     if (error_of(parsed)) return;
     for (const auto& value : std::get<json::value>(parsed).at("results").as_array()) {
       const std::size_t position = value.at("position").to_number<std::size_t>();
-      const std::string whole = json::serialize(value);
-      if (position < lot->seen.size()) {
-        if (lot->seen[position] != whole)
-          ledger_.write({{"what", "result_moved"}, {"id", lot->id}, {"before", lot->seen[position]}, {"after", whole}});
+      const std::string serialized = json::serialize(value);
+      if (position < lot->listed_results.size()) {
+        if (lot->listed_results[position] != serialized)
+          ledger_.write({{"what", "result_moved"},
+                         {"id", lot->id},
+                         {"before", lot->listed_results[position]},
+                         {"after", serialized}});
         continue;
       }
-      if (position != lot->seen.size()) {
-        ledger_.write({{"what", "result_moved"}, {"id", lot->id}, {"before", from}, {"after", whole}});
+      if (position != lot->listed_results.size()) {
+        ledger_.write({{"what", "result_moved"}, {"id", lot->id}, {"before", first_position}, {"after", serialized}});
         return;
       }
-      lot->seen.push_back(whole);
+      lot->listed_results.push_back(serialized);
       const std::string item = lot->id + "/" + std::to_string(value.at("item").to_number<std::size_t>());
       std::string run, fault;
       const std::string outcome(value.at("outcome").as_string());
       if (outcome == "answer" && value.at("status").as_int64() == 200)
-        fault = check_plain(item, std::string(value.at("body").as_string()), run);
+        fault = check_plain_response(item, std::string(value.at("body").as_string()), run);
       ledger_.write({{"what", "result"},
                      {"id", item},
                      {"lot", lot->id},
@@ -342,45 +351,47 @@
                      {"outcome", outcome},
                      {"run", run},
                      {"fault", fault},
-                     {"after", Ledger::milliseconds_now() - lot->handed_in}});
+                     {"after", Ledger::milliseconds_now() - lot->submitted_at}});
     }
   }
 
   // A listed result neither moves nor changes: the whole list is read once more from another daemon.
-  void check_again(std::shared_ptr<LotState> lot) {
-    simple("GET", "/lots/" + lot->id + "/results?after=0&limit=1000", "", [this, lot](int status, std::string text) {
-      if (status == 200) {
-        take(lot, text, 0);
-        ledger_.write({{"what", "lot_done"}, {"id", lot->id}, {"took", Ledger::milliseconds_now() - lot->handed_in}});
-      } else if (status == 404) {
-        ledger_.write({{"what", "lot_vanished"}, {"id", lot->id}});
-      } else if (Ledger::milliseconds_now() < lot->give_up) {
-        later(300, [this, lot] { check_again(lot); });
-      }
-    });
+  void read_results_again(std::shared_ptr<LotState> lot) {
+    send_request(
+        "GET", "/lots/" + lot->id + "/results?after=0&limit=1000", "", [this, lot](int status, std::string text) {
+          if (status == 200) {
+            record_results(lot, text, 0);
+            ledger_.write(
+                {{"what", "lot_done"}, {"id", lot->id}, {"took", Ledger::milliseconds_now() - lot->submitted_at}});
+          } else if (status == 404) {
+            ledger_.write({{"what", "lot_vanished"}, {"id", lot->id}});
+          } else if (Ledger::milliseconds_now() < lot->retry_until) {
+            run_after(300, [this, lot] { read_results_again(lot); });
+          }
+        });
   }
 
   boost::asio::io_context& context_;
   Plan plan_;
   Ledger ledger_;
-  std::uint64_t state_;
-  std::int64_t end_ = 0;
+  std::uint64_t random_state_;
+  std::int64_t load_ends_at_ = 0;
 };
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argument_count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  if (count != 2) return std::cerr << "stand-in-caller: give one plan file\n", 2;
-  std::ifstream stream(words[1]);
+  if (argument_count != 2) return std::cerr << "stand-in-caller: give one plan file\n", 2;
+  std::ifstream stream(arguments[1]);
   const std::string text((std::istreambuf_iterator<char>(stream)), std::istreambuf_iterator<char>());
   auto plan = from_json<Plan>(text);
-  if (auto fault = error_of(plan))
-    return std::cerr << "stand-in-caller: " << fault->field << ": " << fault->message << "\n", 2;
+  if (auto error = error_of(plan))
+    return std::cerr << "stand-in-caller: " << error->field << ": " << error->message << "\n", 2;
   if (std::get<Plan>(plan).targets.empty()) return std::cerr << "stand-in-caller: the plan has no targets\n", 2;
   boost::asio::io_context context(1);
-  Client client(context, std::move(std::get<Plan>(plan)));
-  client.start();
+  LoadGenerator generator(context, std::move(std::get<Plan>(plan)));
+  generator.start();
   context.run();
   return 0;
 }
--- a/source/stand_ins/judge.cpp
+++ b/source/stand_ins/judge.cpp
@@ -4,25 +4,25 @@
 #include <algorithm>
 #include <iostream>
 
-int main(int count, char** words) {
+int main(int argument_count, char** arguments) {
   using namespace mothwalk;
-  if (count < 2) return std::cerr << "judge: give the ledgers\n", 2;
+  if (argument_count < 2) return std::cerr << "judge: give the ledgers\n", 2;
   std::vector<json::object> lines;
-  for (int index = 1; index < count; ++index)
-    for (auto& line : read_ledger(words[index])) lines.push_back(std::move(line));
+  for (int index = 1; index < argument_count; ++index)
+    for (auto& line : read_ledger(arguments[index])) lines.push_back(std::move(line));
   if (lines.empty()) return std::cerr << "judge: the ledgers are empty\n", 2;
   Verdict verdict = judge(lines);
-  for (const auto& [name, number] : verdict.counts) std::cout << name << ": " << number << "\n";
-  for (auto* table : {&verdict.took, &verdict.first})
-    for (auto& [name, list] : *table) {
-      if (list.empty()) continue;
-      std::sort(list.begin(), list.end());
-      std::cout << (table == &verdict.first ? "first piece, " : "time, ") << name << ": median "
-                << list[list.size() / 2] << " ms, 99% " << list[list.size() * 99 / 100] << " ms, worst " << list.back()
-                << " ms\n";
+  for (const auto& [name, occurrences] : verdict.counts) std::cout << name << ": " << occurrences << "\n";
+  for (auto* samples_by_name : {&verdict.took, &verdict.first})
+    for (auto& [name, samples] : *samples_by_name) {
+      if (samples.empty()) continue;
+      std::sort(samples.begin(), samples.end());
+      std::cout << (samples_by_name == &verdict.first ? "first piece, " : "time, ") << name << ": median "
+                << samples[samples.size() / 2] << " ms, 99% " << samples[samples.size() * 99 / 100] << " ms, worst "
+                << samples.back() << " ms\n";
     }
-  const std::size_t shown = std::min<std::size_t>(verdict.broken.size(), 40);
-  for (std::size_t index = 0; index < shown; ++index) std::cout << "BROKEN " << verdict.broken[index] << "\n";
+  const std::size_t printed_count = std::min<std::size_t>(verdict.broken.size(), 40);
+  for (std::size_t index = 0; index < printed_count; ++index) std::cout << "BROKEN " << verdict.broken[index] << "\n";
   std::cout << (verdict.broken.empty() ? "No never-rule is broken."
                                        : std::to_string(verdict.broken.size()) + " breaches.")
             << "\n";
--- a/source/stand_ins/judge_rules.cpp
+++ b/source/stand_ins/judge_rules.cpp
@@ -20,15 +20,15 @@
 }
 
 namespace {
-std::string text(const json::object& line, StringView name) {
+std::string string_field(const json::object& line, StringView name) {
   const auto* value = line.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : std::string();
 }
-std::int64_t number(const json::object& line, StringView name) {
+std::int64_t integer_field(const json::object& line, StringView name) {
   const auto* value = line.if_contains(name);
   return value != nullptr && value->is_number() ? value->to_number<std::int64_t>() : 0;
 }
-bool flag(const json::object& line, StringView name) {
+bool boolean_field(const json::object& line, StringView name) {
   const auto* value = line.if_contains(name);
   return value != nullptr && value->is_bool() && value->as_bool();
 }
@@ -37,105 +37,111 @@
 Verdict judge(const std::vector<json::object>& lines, const Limits& limits) {
   Verdict verdict;
 
-  std::map<std::string, std::vector<const json::object*>> runs;
-  std::map<std::string, const json::object*> whole_runs, all_runs;
+  std::map<std::string, std::vector<const json::object*>> runs_by_request;
+  std::map<std::string, const json::object*> completed_runs, all_runs;
   for (const auto& line : lines) {
-    if (text(line, "what") == "run") {
-      runs[text(line, "id")].push_back(&line);
-      all_runs[text(line, "run")] = &line;
+    if (string_field(line, "what") == "run") {
+      runs_by_request[string_field(line, "id")].push_back(&line);
+      all_runs[string_field(line, "run")] = &line;
     }
-    if (text(line, "what") == "end" && text(line, "how") == "whole") whole_runs[text(line, "run")] = &line;
+    if (string_field(line, "what") == "end" && string_field(line, "how") == "whole")
+      completed_runs[string_field(line, "run")] = &line;
   }
-  auto broken = [&](const std::string& rule, const std::string& evidence) {
+  auto report_violation = [&](const std::string& rule, const std::string& evidence) {
     verdict.broken.push_back(rule + ": " + evidence);
   };
-  std::set<std::string> acknowledged, done;
+  std::set<std::string> acknowledged_lots, finished_lots;
   for (const auto& line : lines) {
-    const std::string what = text(line, "what"), id = text(line, "id");
-    if (what == "request" || what == "result") {
-      const std::string outcome = text(line, "outcome"), fault = text(line, "fault"), run = text(line, "run");
-      const std::string load = what == "request" ? text(line, "load") : "items";
+    const std::string event = string_field(line, "what"), id = string_field(line, "id");
+    if (event == "request" || event == "result") {
+      const std::string outcome = string_field(line, "outcome"), fault = string_field(line, "fault"),
+                        run = string_field(line, "run");
+      const std::string load = event == "request" ? string_field(line, "load") : "items";
       ++verdict.counts[load + " " + outcome];
-      if (what == "request" && outcome == "answer") {
-        verdict.took[load].push_back(number(line, "took"));
-        verdict.first[load].push_back(number(line, "first"));
+      if (event == "request" && outcome == "answer") {
+        verdict.took[load].push_back(integer_field(line, "took"));
+        verdict.first[load].push_back(integer_field(line, "first"));
       }
-      if (what == "result") verdict.took["items"].push_back(number(line, "after"));
-      if (!fault.empty()) broken("wrong answer", id + ": " + fault);
-      const std::size_t times = runs.contains(id) ? runs[id].size() : 0;
-      if (!flag(line, "repeatable") && times > 1)
-        broken("unrepeatable request run twice", id + " ran " + std::to_string(times) + " times");
-      if ((outcome == "refused" || outcome == "expired" || outcome == "cancelled") && times > 0 &&
-          (what == "request" || !flag(line, "repeatable")))
-        broken("refusal of work that runs", id + " was " + outcome + " and ran");
-      if (what == "result" && outcome == "answer" && whole_runs.contains(run)) {
-        const std::int64_t lag = number(line, "at") - number(*whole_runs.at(run), "at");
+      if (event == "result") verdict.took["items"].push_back(integer_field(line, "after"));
+      if (!fault.empty()) report_violation("wrong answer", id + ": " + fault);
+      const std::size_t run_count = runs_by_request.contains(id) ? runs_by_request[id].size() : 0;
+      if (!boolean_field(line, "repeatable") && run_count > 1)
+        report_violation("unrepeatable request run twice", id + " ran " + std::to_string(run_count) + " times");
+      if ((outcome == "refused" || outcome == "expired" || outcome == "cancelled") && run_count > 0 &&
+          (event == "request" || !boolean_field(line, "repeatable")))
+        report_violation("refusal of work that runs", id + " was " + outcome + " and ran");
+      if (event == "result" && outcome == "answer" && completed_runs.contains(run)) {
+        const std::int64_t lag = integer_field(line, "at") - integer_field(*completed_runs.at(run), "at");
         verdict.took["result listed after its run's end"].push_back(lag);
         if (lag > limits.result_lag)
-          broken("a new result was not readable in time",
-                 id + " after " + std::to_string(lag) + " ms, over " + std::to_string(limits.result_lag) + " ms");
+          report_violation(
+              "a new result was not readable in time",
+              id + " after " + std::to_string(lag) + " ms, over " + std::to_string(limits.result_lag) + " ms");
       }
-      if (what == "request") {
+      if (event == "request") {
         ++verdict.proper;
         verdict.refused += outcome == "refused";
       }
-      if (outcome == "answer" && (what == "result" || number(line, "status") == 200) && !whole_runs.contains(run))
-        broken("false success", id + " has no whole run '" + run + "'");
-      if (what == "request" && outcome == "refused" && number(line, "status") == 503 &&
-          text(line, "retry_after").empty())
-        broken("refusal without Retry-After", id);
-    } else if (what == "lot") {
-      acknowledged.insert(id);
+      if (outcome == "answer" && (event == "result" || integer_field(line, "status") == 200) &&
+          !completed_runs.contains(run))
+        report_violation("false success", id + " has no whole run '" + run + "'");
+      if (event == "request" && outcome == "refused" && integer_field(line, "status") == 503 &&
+          string_field(line, "retry_after").empty())
+        report_violation("refusal without Retry-After", id);
+    } else if (event == "lot") {
+      acknowledged_lots.insert(id);
       ++verdict.counts["lots acknowledged"];
-      verdict.took["lots acknowledged"].push_back(number(line, "took"));
-    } else if (what == "lot_done") {
-      done.insert(id);
+      verdict.took["lots acknowledged"].push_back(integer_field(line, "took"));
+    } else if (event == "lot_done") {
+      finished_lots.insert(id);
       ++verdict.counts["lots done"];
-      verdict.took["lots done"].push_back(number(line, "took"));
-    } else if (what == "lot_vanished") {
-      broken("lot vanished", id);
-    } else if (what == "result_moved") {
-      broken("listed result moved", json::serialize(line));
-    } else if (what == "lot_unfinished") {
-      broken("lot never finished",
-             id + " has " + std::to_string(number(line, "results")) + " of " + std::to_string(number(line, "items")));
-    } else if (what == "lot_given_up" || what == "lot_try") {
-      ++verdict.counts[what];
-    } else if (what == "cancelled") {
-      for (const auto& [item, list] : runs)
+      verdict.took["lots done"].push_back(integer_field(line, "took"));
+    } else if (event == "lot_vanished") {
+      report_violation("lot vanished", id);
+    } else if (event == "result_moved") {
+      report_violation("listed result moved", json::serialize(line));
+    } else if (event == "lot_unfinished") {
+      report_violation("lot never finished", id + " has " + std::to_string(integer_field(line, "results")) + " of " +
+                                                 std::to_string(integer_field(line, "items")));
+    } else if (event == "lot_given_up" || event == "lot_try") {
+      ++verdict.counts[event];
+    } else if (event == "cancelled") {
+      for (const auto& [item, request_runs] : runs_by_request)
         if (item.starts_with(id + "/"))
-          for (const auto* run : list)
-            if (number(*run, "at") > number(line, "at") + 3000) broken("item of a cancelled lot started late", item);
-    } else if (what == "leaving" || what == "evacuated") {
-      const std::int64_t limit = what == "leaving" ? 3000 : 5000;
+          for (const auto* run : request_runs)
+            if (integer_field(*run, "at") > integer_field(line, "at") + 3000)
+              report_violation("item of a cancelled lot started late", item);
+    } else if (event == "leaving" || event == "evacuated") {
+      const std::int64_t limit = event == "leaving" ? 3000 : 5000;
       const auto* until = line.if_contains("until");
-      std::int64_t last = 0;
+      std::int64_t longest_delay = 0;
       for (const auto& [run_id, run] : all_runs) {
         const auto* runners = line.if_contains("runners");
-        bool meant = false;
-        for (const auto& runner : runners->as_array()) meant = meant || text(*run, "runner") == runner.as_string();
-        const std::int64_t late = number(*run, "at") - number(line, "acknowledged");
-        if (!meant || (until != nullptr && number(*run, "at") > until->to_number<std::int64_t>())) continue;
-        last = std::max(last, late);
-        if (late > limit)
-          broken(what == "leaving" ? "work to a leaving runner" : "work to an evacuated zone",
-                 run_id + " after " + std::to_string(late) + " ms");
+        bool affected = false;
+        for (const auto& runner : runners->as_array())
+          affected = affected || string_field(*run, "runner") == runner.as_string();
+        const std::int64_t delay = integer_field(*run, "at") - integer_field(line, "acknowledged");
+        if (!affected || (until != nullptr && integer_field(*run, "at") > until->to_number<std::int64_t>())) continue;
+        longest_delay = std::max(longest_delay, delay);
+        if (delay > limit)
+          report_violation(event == "leaving" ? "work to a leaving runner" : "work to an evacuated zone",
+                           run_id + " after " + std::to_string(delay) + " ms");
       }
-      verdict.took[what + ": last work sent after"].push_back(last);
-    } else if (what == "observed") {
-      verdict.took[text(line, "name")].push_back(number(line, "took"));
+      verdict.took[event + ": last work sent after"].push_back(longest_delay);
+    } else if (event == "observed") {
+      verdict.took[string_field(line, "name")].push_back(integer_field(line, "took"));
       const auto* limit = line.if_contains("limit");
-      if (limit != nullptr && number(line, "took") > limit->to_number<std::int64_t>())
-        broken(text(line, "name"), std::to_string(number(line, "took")) + " ms, over " +
-                                       std::to_string(limit->to_number<std::int64_t>()) + " ms");
+      if (limit != nullptr && integer_field(line, "took") > limit->to_number<std::int64_t>())
+        report_violation(string_field(line, "name"), std::to_string(integer_field(line, "took")) + " ms, over " +
+                                                         std::to_string(limit->to_number<std::int64_t>()) + " ms");
     }
   }
   if (verdict.refused * 1000 > verdict.proper * limits.refused_per_thousand)
-    broken("proper requests turned away", std::to_string(verdict.refused) + " of " + std::to_string(verdict.proper) +
-                                              ", over " + std::to_string(limits.refused_per_thousand) +
-                                              " in a thousand");
-  for (const auto& id : acknowledged)
-    if (!done.contains(id)) ++verdict.counts["lots not read to the end"];
+    report_violation("proper requests turned away", std::to_string(verdict.refused) + " of " +
+                                                        std::to_string(verdict.proper) + ", over " +
+                                                        std::to_string(limits.refused_per_thousand) + " in a thousand");
+  for (const auto& id : acknowledged_lots)
+    if (!finished_lots.contains(id)) ++verdict.counts["lots not read to the end"];
   for (const auto& [run, line] : all_runs) (void)line, ++verdict.counts["runs"];
   return verdict;
 }
--- a/source/stand_ins/ledger.hpp
+++ b/source/stand_ins/ledger.hpp
@@ -12,20 +12,20 @@
 class Ledger {
  public:
   explicit Ledger(const std::string& path)
-      : file_(path.empty() ? -1 : ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {}
+      : descriptor_(path.empty() ? -1 : ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {}
   ~Ledger() {
-    if (file_ >= 0) ::close(file_);
+    if (descriptor_ >= 0) ::close(descriptor_);
   }
-  void write(json::object line) {
-    if (file_ < 0) return;
-    line["at"] = milliseconds_now();
-    const std::string text = json::serialize(line) + "\n";
-    if (::write(file_, text.data(), text.size()) < 0) std::abort();
+  void write(json::object record) {
+    if (descriptor_ < 0) return;
+    record["at"] = milliseconds_now();
+    const std::string text = json::serialize(record) + "\n";
+    if (::write(descriptor_, text.data(), text.size()) < 0) std::abort();
   }
   static std::int64_t milliseconds_now() { return steady_now().microseconds / 1000; }
 
  private:
-  int file_;
+  int descriptor_;
 };
 
 }  // namespace mothwalk
--- a/source/stand_ins/platform.cpp
+++ b/source/stand_ins/platform.cpp
@@ -20,16 +20,16 @@
 struct Options {
   std::string fleet = "thin", programs, folder, faults;
   int seconds = 20;
-  double share = 1.0;
+  double load_factor = 1.0;
   bool keep = false;
   std::uint64_t seed = 0;  // of a soak
 };
 
 int failed_checks = 0;
-bool check(bool good, const std::string& what) {
-  std::cout << (good ? "ok      " : "FAILED  ") << what << std::endl;
-  failed_checks += !good;
-  return good;
+bool check(bool passed, const std::string& description) {
+  std::cout << (passed ? "ok      " : "FAILED  ") << description << std::endl;
+  failed_checks += !passed;
+  return passed;
 }
 
 std::vector<json::object> all_ledgers(const Fleet& fleet) {
@@ -40,89 +40,94 @@
 }
 
 // Sends bytes as they are and gives what comes back until the other side closes.
-std::string raw_exchange(const Address& to, const std::string& bytes) {
+std::string exchange_bytes(const Address& address, const std::string& bytes) {
   boost::asio::io_context context(1);
   boost::asio::ip::tcp::socket socket(context);
   boost::system::error_code error;
-  socket.connect(*endpoint_of(to), error);
+  socket.connect(*endpoint_of(address), error);
   if (error) return "no connection";
   boost::asio::write(socket, boost::asio::buffer(bytes), error);
   socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send, error);
-  std::string answer;
-  boost::asio::read(socket, boost::asio::dynamic_buffer(answer), error);
-  return answer;
+  std::string response;
+  boost::asio::read(socket, boost::asio::dynamic_buffer(response), error);
+  return response;
 }
 
 // No input ends a daemon, and each fault is told in its way.
-void bad_input(Fleet& fleet) {
+void check_bad_input(Fleet& fleet) {
   const MachineShape& machine = fleet.shape.machines[1];
-  auto status = [&](const Address& to, StringView method, const std::string& target, StringView body) {
-    auto answer = http_call(to, method, target, body, std::chrono::seconds(30));
-    return error_of(answer) ? 0 : std::get<HttpAnswer>(answer).status;
+  auto response_status = [&](const Address& address, StringView method, const std::string& target, StringView body) {
+    auto response = http_call(address, method, target, body, std::chrono::seconds(30));
+    return error_of(response) ? 0 : std::get<HttpAnswer>(response).status;
   };
-  raw_exchange(machine.address, std::string("\xff\xff\xff\xff nonsense", 13));
-  raw_exchange(machine.address, std::string("\0\0\0\x05hello", 9));
-  raw_exchange(machine.address, std::string("\0\0\x01\0truncated", 13));
-  raw_exchange(machine.address, "GET / HTTP/1.1\r\n\r\n");
-  check(raw_exchange(machine.callers, "this is no HTTP\r\n\r\n").find("400") != std::string::npos,
+  exchange_bytes(machine.address, std::string("\xff\xff\xff\xff nonsense", 13));
+  exchange_bytes(machine.address, std::string("\0\0\0\x05hello", 9));
+  exchange_bytes(machine.address, std::string("\0\0\x01\0truncated", 13));
+  exchange_bytes(machine.address, "GET / HTTP/1.1\r\n\r\n");
+  check(exchange_bytes(machine.client_address, "this is no HTTP\r\n\r\n").find("400") != std::string::npos,
         "what is no HTTP is answered 400");
-  check(raw_exchange(machine.callers, "POST /audits HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n")
+  check(exchange_bytes(machine.client_address, "POST /audits HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n")
                 .find("413") != std::string::npos,
         "a body that is too long is refused before it is read");
-  check(raw_exchange(machine.callers, "GET /" + std::string(20000, 'a') + " HTTP/1.1\r\n\r\n").find("431") !=
+  check(exchange_bytes(machine.client_address, "GET /" + std::string(20000, 'a') + " HTTP/1.1\r\n\r\n").find("431") !=
             std::string::npos,
         "headers that are too long are refused");
-  check(status(machine.callers, "POST", "/nowhere", "x") == 404, "a path without a lane is answered 404");
-  check(status(machine.callers, "PUT", "/lots/bad", "{\"lane\":") == 400, "a malformed lot is refused");
-  check(status(machine.callers, "PUT", "/lots/bad", R"({"lane":"nobody","items":[1]})") == 400,
+  check(response_status(machine.client_address, "POST", "/nowhere", "x") == 404,
+        "a path without a lane is answered 404");
+  check(response_status(machine.client_address, "PUT", "/lots/bad", "{\"lane\":") == 400, "a malformed lot is refused");
+  check(response_status(machine.client_address, "PUT", "/lots/bad", R"({"lane":"nobody","items":[1]})") == 400,
         "a lot for no lane is refused");
-  check(status(machine.callers, "PUT", "/lots/lines-x", R"({"lane":"lines","items":["a"]})") == 200 &&
-            status(machine.callers, "PUT", "/lots/lines-x", R"({"lane":"lines","items":["b"]})") == 409,
+  check(response_status(machine.client_address, "PUT", "/lots/lines-x", R"({"lane":"lines","items":["a"]})") == 200 &&
+            response_status(machine.client_address, "PUT", "/lots/lines-x", R"({"lane":"lines","items":["b"]})") == 409,
         "another body under a lot's id is a conflict");
-  check(status(machine.callers, "GET", "/lots/unknown", "") == 404, "a lot that is not there is answered 404");
-  check(status(machine.callers, "GET", "/v1/members", "") == 404,
+  check(response_status(machine.client_address, "GET", "/lots/unknown", "") == 404,
+        "a lot that is not there is answered 404");
+  check(response_status(machine.client_address, "GET", "/v1/members", "") == 404,
         "operators' calls are not taken on the callers' side");
-  check(status(machine.control, "DELETE", "/v1/resources/kind/model?version=1", "") == 409,
+  check(response_status(machine.control_address, "DELETE", "/v1/resources/kind/model?version=1", "") == 409,
         "a kind that lanes lead to can't be removed");
-  check(status(machine.control, "PUT", "/v1/resources/teapot/x", "{}") == 404, "an unknown type is refused");
+  check(response_status(machine.control_address, "PUT", "/v1/resources/teapot/x", "{}") == 404,
+        "an unknown type is refused");
   // Runners that answer nonsense: unknown for the caller, never a success.
-  for (const auto& runner : fleet.shape.runners) status(runner.control, "POST", "/stand-in/mode/nonsense", "");
-  auto nonsense = http_call(machine.callers, "POST", "/audits", "x", std::chrono::seconds(30));
-  check(!error_of(nonsense) && std::get<HttpAnswer>(nonsense).status == 502 &&
-            std::get<HttpAnswer>(nonsense).headers["x-mothwalk-outcome"] == "unknown",
+  for (const auto& runner : fleet.shape.runners)
+    response_status(runner.control_address, "POST", "/stand-in/mode/nonsense", "");
+  auto nonsense_response = http_call(machine.client_address, "POST", "/audits", "x", std::chrono::seconds(30));
+  check(!error_of(nonsense_response) && std::get<HttpAnswer>(nonsense_response).status == 502 &&
+            std::get<HttpAnswer>(nonsense_response).headers["x-mothwalk-outcome"] == "unknown",
         "a runner's nonsense is a bad gateway, marked unknown");
-  for (const auto& runner : fleet.shape.runners) status(runner.control, "POST", "/stand-in/mode/sound", "");
-  check(Fleet::until([&] { return status(machine.callers, "POST", "/audits", "x") == 200; }),
+  for (const auto& runner : fleet.shape.runners)
+    response_status(runner.control_address, "POST", "/stand-in/mode/sound", "");
+  check(Fleet::wait_until([&] { return response_status(machine.client_address, "POST", "/audits", "x") == 200; }),
         "and the path is back when the runners are sound");
-  check(Fleet::until([&] { return fleet.all_serving(); }), "all daemons serve after the bad input");
+  check(Fleet::wait_until([&] { return fleet.all_machines_serve(); }), "all daemons serve after the bad input");
 }
 
 // The thin path, by events alone: every step waits for what it needs and nothing depends on speed.
-void thin(Fleet& fleet) {
+void run_thin_fleet(Fleet& fleet) {
   fleet.start_all();
-  check(Fleet::until([&] { return fleet.all_serving(); }),
+  check(Fleet::wait_until([&] { return fleet.all_machines_serve(); }),
         "four daemons in two zones found each other and hold leases");
   check(fleet.apply_configuration(), "kinds, lanes and runners were taken, each at another daemon");
   for (const auto& name : {"audits", "lines"})
-    check(Fleet::until([&] { return fleet.taken_by_all(3, "lane", name); }),
+    check(Fleet::wait_until([&] { return fleet.applied_by_all(3, "lane", name); }),
           std::string("lane ") + name + " reached every member");
-  check(Fleet::until([&] {
-          auto circle = fleet.circle(1, "model");
+  check(Fleet::wait_until([&] {
+          auto circle = fleet.read_circle(1, "model");
           return circle && circle->members.size() >= 2 && circle->members.size() <= 3 &&
                  circle->warm.size() == circle->members.size();
         }),
         "the circle stands, with the floor inside and the reserve outside");
   for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) {
     // The platform's own client is a caller through each single daemon.
-    auto answer =
-        http_call(fleet.shape.machines[machine].callers, "POST", "/audits", "a receipt", std::chrono::seconds(30));
-    const bool good = !error_of(answer) && std::get<HttpAnswer>(answer).status == 200 &&
-                      std::get<HttpAnswer>(answer).headers["x-mothwalk-outcome"] == "answer";
-    check(good, "daemon " + std::to_string(machine) + " carried a request to a runner");
+    auto response = http_call(fleet.shape.machines[machine].client_address, "POST", "/audits", "a receipt",
+                              std::chrono::seconds(30));
+    const bool passed = !error_of(response) && std::get<HttpAnswer>(response).status == 200 &&
+                        std::get<HttpAnswer>(response).headers["x-mothwalk-outcome"] == "answer";
+    check(passed, "daemon " + std::to_string(machine) + " carried a request to a runner");
   }
-  const pid_t caller =
-      fleet.start({"stand-in-caller", fleet.write_plan(std::chrono::seconds(60), std::chrono::seconds(60), 3)});
-  check(fleet.wait_for(caller) == 0, "the callers streamed and handed in lots");
+  const pid_t load_generator = fleet.start_process(
+      {"stand-in-caller", fleet.write_load_plan(std::chrono::seconds(60), std::chrono::seconds(60), 3)});
+  check(fleet.wait_for_exit(load_generator) == 0, "the callers streamed and handed in lots");
   const auto lines = all_ledgers(fleet);
   Verdict verdict = judge(lines);
   for (const auto& each : verdict.broken) check(false, each);
@@ -132,57 +137,59 @@
         "three lots of ten items were worked off and read");
   std::set<std::string> lot_runners;
   for (const auto& line : lines)
-    if (const auto* what = line.if_contains("what");
-        what != nullptr && what->as_string() == "run" && std::string(line.at("id").as_string()).starts_with("lines-"))
+    if (const auto* event = line.if_contains("what");
+        event != nullptr && event->as_string() == "run" && std::string(line.at("id").as_string()).starts_with("lines-"))
       lot_runners.insert(std::string(line.at("runner").as_string()));
-  auto circle = fleet.circle(0, "model");
-  bool outside = circle.has_value() && !lot_runners.empty();
+  auto circle = fleet.read_circle(0, "model");
+  bool all_outside_circle = circle.has_value() && !lot_runners.empty();
   for (const auto& name : lot_runners)
-    outside =
-        outside && std::find(circle->members.begin(), circle->members.end(), RunnerId(name)) == circle->members.end();
-  check(outside, "the items ran on runners outside the circle alone");
+    all_outside_circle = all_outside_circle && std::find(circle->members.begin(), circle->members.end(),
+                                                         RunnerId(name)) == circle->members.end();
+  check(all_outside_circle, "the items ran on runners outside the circle alone");
   // An operator's stale version and a faulty document change nothing.
   const std::string path = "/v1/resources/lane/audits";
-  auto stale = http_call(fleet.shape.machines[2].control, "PUT", path + "?version=0",
-                         R"({"path":"/audits","kind":"model"})", std::chrono::seconds(10));
-  check(!error_of(stale) && std::get<HttpAnswer>(stale).status == 412, "a stale version is refused");
-  auto faulty = http_call(fleet.shape.machines[2].control, "PUT", path + "?version=1",
-                          R"({"path":"/audits","kind":"model","retires":2})", std::chrono::seconds(10));
-  check(!error_of(faulty) && std::get<HttpAnswer>(faulty).status == 400 &&
-            std::get<HttpAnswer>(faulty).body.find("retires") != std::string::npos,
+  auto stale_response = http_call(fleet.shape.machines[2].control_address, "PUT", path + "?version=0",
+                                  R"({"path":"/audits","kind":"model"})", std::chrono::seconds(10));
+  check(!error_of(stale_response) && std::get<HttpAnswer>(stale_response).status == 412, "a stale version is refused");
+  auto faulty_response = http_call(fleet.shape.machines[2].control_address, "PUT", path + "?version=1",
+                                   R"({"path":"/audits","kind":"model","retires":2})", std::chrono::seconds(10));
+  check(!error_of(faulty_response) && std::get<HttpAnswer>(faulty_response).status == 400 &&
+            std::get<HttpAnswer>(faulty_response).body.find("retires") != std::string::npos,
         "an unknown field is refused by its name");
-  bad_input(fleet);
+  check_bad_input(fleet);
   // Everything down at once and back.
-  for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) fleet.end_machine(machine, SIGKILL);
+  for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) fleet.stop_machine(machine, SIGKILL);
   for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) fleet.start_machine(machine);
-  check(Fleet::until([&] { return fleet.all_serving() && fleet.taken_by_all(0, "lane", "audits"); }),
+  check(Fleet::wait_until([&] { return fleet.all_machines_serve() && fleet.applied_by_all(0, "lane", "audits"); }),
         "after a total loss the configuration is back");
-  check(Fleet::until([&] {
-          auto answer = http_call(fleet.shape.machines[3].callers, "GET", "/lots", "", std::chrono::seconds(10));
-          if (error_of(answer)) return false;
-          auto parsed = parse_json(std::get<HttpAnswer>(answer).body);
+  check(Fleet::wait_until([&] {
+          auto response =
+              http_call(fleet.shape.machines[3].client_address, "GET", "/lots", "", std::chrono::seconds(10));
+          if (error_of(response)) return false;
+          auto parsed = parse_json(std::get<HttpAnswer>(response).body);
           if (error_of(parsed) || !std::get<json::value>(parsed).as_object().contains("lots")) return false;
           return std::get<json::value>(parsed).at("lots").as_array().size() == 4;
         }),
         "after a total loss the lots are back");
   for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine)
-    check(fleet.end_politely(machine) == 0, "daemon " + std::to_string(machine) + " drained and ended with 0");
+    check(fleet.drain_machine(machine) == 0, "daemon " + std::to_string(machine) + " drained and ended with 0");
 }
 
-void observe(Ledger& ledger, const std::string& name, std::int64_t took, std::optional<std::int64_t> limit) {
-  json::object line{{"what", "observed"}, {"name", name}, {"took", took}};
+void record_observation(Ledger& ledger, const std::string& name, std::int64_t milliseconds,
+                        std::optional<std::int64_t> limit) {
+  json::object line{{"what", "observed"}, {"name", name}, {"took", milliseconds}};
   if (limit) line["limit"] = *limit;
-  std::cout << "        " << name << ": " << took << " ms" << std::endl;
+  std::cout << "        " << name << ": " << milliseconds << " ms" << std::endl;
   ledger.write(std::move(line));
 }
 
-std::int64_t timed(std::function<bool()> holds) {
+std::int64_t time_until(std::function<bool()> condition) {
   const std::int64_t began = Ledger::milliseconds_now();
-  Fleet::until(std::move(holds), std::chrono::seconds(60));
+  Fleet::wait_until(std::move(condition), std::chrono::seconds(60));
   return Ledger::milliseconds_now() - began;
 }
 
-std::size_t live_machine(const Fleet& fleet, std::size_t from) {
+std::size_t next_running_machine(const Fleet& fleet, std::size_t from) {
   for (std::size_t step = 0; step < fleet.shape.machines.size(); ++step)
     if (const std::size_t index = (from + step) % fleet.shape.machines.size(); fleet.shape.machines[index].pid > 0)
       return index;
@@ -190,102 +197,107 @@
 }
 
 // Seen by every live daemon's own table, whose versions are compared with the one just acknowledged.
-bool seen_everywhere(Fleet& fleet, const std::string& type, const std::string& name, std::uint64_t version) {
+bool visible_everywhere(Fleet& fleet, const std::string& type, const std::string& name, std::uint64_t version) {
   for (std::size_t index = 0; index < fleet.shape.machines.size(); ++index) {
     if (fleet.shape.machines[index].pid == 0) continue;
-    auto list = fleet.get(index, "/v1/resources/" + type);
-    bool seen = false;
-    if (list)
-      for (const auto& each : list->at("resources").as_array())
-        seen =
-            seen || (each.at("name").as_string() == name && each.at("version").to_number<std::uint64_t>() >= version);
-    if (!seen) return false;
+    auto resources = fleet.get_json(index, "/v1/resources/" + type);
+    bool visible = false;
+    if (resources)
+      for (const auto& each : resources->at("resources").as_array())
+        visible = visible ||
+                  (each.at("name").as_string() == name && each.at("version").to_number<std::uint64_t>() >= version);
+    if (!visible) return false;
   }
   return true;
 }
 
-void configuration_change(Fleet& fleet, Ledger& ledger, int round) {
+void measure_configuration_change(Fleet& fleet, Ledger& ledger, int round) {
   json::object spec;
   for (const auto& [key, given] : fleet.shape.resources)
     if (key.starts_with("lane/")) spec = given;
   spec["path"] = "/changed-" + std::to_string(round);
-  const std::size_t machine = live_machine(fleet, static_cast<std::size_t>(round) * 5);
-  if (!Fleet::until([&] { return fleet.apply(machine, "lane", "changing", spec); }, std::chrono::seconds(20))) return;
-  auto shown = fleet.get(machine, "/v1/resources/lane/changing");
-  const std::uint64_t version = shown ? shown->at("version").to_number<std::uint64_t>() : 1;
-  observe(ledger, "configuration change everywhere",
-          timed([&] { return seen_everywhere(fleet, "lane", "changing", version); }), 2000);
+  const std::size_t machine = next_running_machine(fleet, static_cast<std::size_t>(round) * 5);
+  if (!Fleet::wait_until([&] { return fleet.apply(machine, "lane", "changing", spec); }, std::chrono::seconds(20)))
+    return;
+  auto resource = fleet.get_json(machine, "/v1/resources/lane/changing");
+  const std::uint64_t version = resource ? resource->at("version").to_number<std::uint64_t>() : 1;
+  record_observation(ledger, "configuration change everywhere",
+                     time_until([&] { return visible_everywhere(fleet, "lane", "changing", version); }), 2000);
 }
 
-void run_fault(Fleet& fleet, Ledger& ledger, const std::string& fault, int round) {
+void inject_fault(Fleet& fleet, Ledger& ledger, const std::string& fault, int round) {
   std::cout << "fault   " << fault << std::endl;
-  const std::size_t holders =
+  const std::size_t storage_node_count =
       static_cast<std::size_t>(std::count_if(fleet.shape.machines.begin(), fleet.shape.machines.end(),
                                              [](const MachineShape& machine) { return machine.disk; }));
-  const std::size_t holder = static_cast<std::size_t>(round) % holders;
+  const std::size_t storage_node = static_cast<std::size_t>(round) % storage_node_count;
   if (fault == "kill" || fault == "wipe") {
-    fleet.end_machine(holder, SIGKILL);
-    if (fault == "wipe") fleet.wipe(holder);
-    configuration_change(fleet, ledger, round);
-    fleet.start_machine(holder);
-    observe(ledger, "killed daemon serves again", timed([&] { return fleet.serving(holder); }), std::nullopt);
+    fleet.stop_machine(storage_node, SIGKILL);
+    if (fault == "wipe") fleet.delete_data_folder(storage_node);
+    measure_configuration_change(fleet, ledger, round);
+    fleet.start_machine(storage_node);
+    record_observation(ledger, "killed daemon serves again", time_until([&] { return fleet.is_serving(storage_node); }),
+                       std::nullopt);
   } else if (fault == "freeze") {
-    fleet.signal_machine(holder, SIGSTOP);
+    fleet.signal_machine(storage_node, SIGSTOP);
     std::this_thread::sleep_for(std::chrono::seconds(4));
-    fleet.signal_machine(holder, SIGCONT);
-    observe(ledger, "frozen daemon serves again", timed([&] { return fleet.serving(holder); }), std::nullopt);
+    fleet.signal_machine(storage_node, SIGCONT);
+    record_observation(ledger, "frozen daemon serves again", time_until([&] { return fleet.is_serving(storage_node); }),
+                       std::nullopt);
   } else if (fault == "configuration") {
-    configuration_change(fleet, ledger, round);
+    measure_configuration_change(fleet, ledger, round);
   } else if (fault == "runner-crash") {
     const std::size_t runner = static_cast<std::size_t>(round) % 12;
-    fleet.end_runner(runner, SIGKILL);
+    fleet.stop_runner(runner, SIGKILL);
     std::this_thread::sleep_for(std::chrono::seconds(2));
     fleet.start_runner(runner, 2000);
   } else if (fault == "leaving" || fault == "evacuate") {
-    json::array names;
+    json::array affected_runners;
     const std::string zone = fleet.shape.runners[static_cast<std::size_t>(round) % 3].zone;
-    const RunnerShape leaver = fleet.shape.runners[static_cast<std::size_t>(round + 5) % 12];
-    const std::size_t machine = live_machine(fleet, static_cast<std::size_t>(round) * 3);
-    json::object runner_spec{{"kind", leaver.kind},
-                             {"address", leaver.address.text},
-                             {"zone", leaver.zone},
-                             {"slots", leaver.slots},
+    const RunnerShape leaving_runner = fleet.shape.runners[static_cast<std::size_t>(round + 5) % 12];
+    const std::size_t machine = next_running_machine(fleet, static_cast<std::size_t>(round) * 3);
+    json::object runner_spec{{"kind", leaving_runner.kind},
+                             {"address", leaving_runner.address.text},
+                             {"zone", leaving_runner.zone},
+                             {"slots", leaving_runner.slots},
                              {"leaving", true}};
     const bool evacuation = fault == "evacuate";
-    Fleet::until(
+    Fleet::wait_until(
         [&] {
           return evacuation ? fleet.apply(machine, "zone", zone, json::object{{"evacuated", true}})
-                            : fleet.apply(machine, "runner", leaver.name, runner_spec);
+                            : fleet.apply(machine, "runner", leaving_runner.name, runner_spec);
         },
         std::chrono::seconds(20));
     const std::int64_t acknowledged = Ledger::milliseconds_now();
     std::this_thread::sleep_for(std::chrono::seconds(7));
     for (const auto& each : fleet.shape.runners)
-      if (evacuation ? each.zone == zone : each.name == leaver.name)
-        names.push_back(json::value(json::string(each.name)));
+      if (evacuation ? each.zone == zone : each.name == leaving_runner.name)
+        affected_runners.push_back(json::value(json::string(each.name)));
     ledger.write({{"what", evacuation ? "evacuated" : "leaving"},
-                  {"runners", names},
+                  {"runners", affected_runners},
                   {"acknowledged", acknowledged},
                   {"until", Ledger::milliseconds_now()}});
     runner_spec["leaving"] = false;
-    Fleet::until(
+    Fleet::wait_until(
         [&] {
           return evacuation ? fleet.apply(machine, "zone", zone, json::object{{"evacuated", false}})
-                            : fleet.apply(machine, "runner", leaver.name, runner_spec);
+                            : fleet.apply(machine, "runner", leaving_runner.name, runner_spec);
         },
         std::chrono::seconds(20));
   } else if (fault == "total-loss") {
-    for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) fleet.end_machine(machine, SIGKILL);
+    for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine)
+      fleet.stop_machine(machine, SIGKILL);
     for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) fleet.start_machine(machine);
     const std::string path = fleet.shape.name == "altiplano" ? "/suggestions" : "/triage";
-    observe(ledger, "service back after a total loss", timed([&] {
-              for (const auto& machine : fleet.shape.machines) {
-                auto answer = http_call(machine.callers, "POST", path, "hello", std::chrono::seconds(5));
-                if (error_of(answer) || std::get<HttpAnswer>(answer).status != 200) return false;
-              }
-              return true;
-            }),
-            12000);
+    record_observation(ledger, "service back after a total loss", time_until([&] {
+                         for (const auto& machine : fleet.shape.machines) {
+                           auto response =
+                               http_call(machine.client_address, "POST", path, "hello", std::chrono::seconds(5));
+                           if (error_of(response) || std::get<HttpAnswer>(response).status != 200) return false;
+                         }
+                         return true;
+                       }),
+                       12000);
   } else {
     check(false,
           "the fault '" + fault +
@@ -293,104 +305,109 @@
   }
 }
 
-void soak(Fleet& fleet, const Options& options) {
-  const auto troubles = draw_troubles(fleet.shape, options.seed, std::chrono::seconds(options.seconds));
-  for (const auto& trouble : troubles) std::cout << "trouble " << trouble.text() << std::endl;
-  Soak(fleet, troubles).play();
+void run_soak(Fleet& fleet, const Options& options) {
+  const auto injected_faults = draw_faults(fleet.shape, options.seed, std::chrono::seconds(options.seconds));
+  for (const auto& injected_fault : injected_faults)
+    std::cout << "trouble " << injected_fault.description() << std::endl;
+  Soak(fleet, injected_faults).run();
 }
 
 // What must hold over all daemons together, whatever befell them.
 void check_invariants(Fleet& fleet) {
-  for (const auto& violation : lines_in_logs(fleet, "Invariant violated")) check(false, violation);
-  std::uint64_t resets = 0;
+  for (const auto& violation : log_lines_containing(fleet, "Invariant violated")) check(false, violation);
+  std::uint64_t reset_connections = 0;
   for (const auto& runner : fleet.shape.runners) {
-    auto answer = http_call(runner.control, "GET", "/stand-in/stats", "", std::chrono::seconds(5));
-    if (!check(!error_of(answer), "runner " + runner.name + " tells its counts")) continue;
-    auto parsed = parse_json(std::get<HttpAnswer>(answer).body);
+    auto response = http_call(runner.control_address, "GET", "/stand-in/stats", "", std::chrono::seconds(5));
+    if (!check(!error_of(response), "runner " + runner.name + " tells its counts")) continue;
+    auto parsed = parse_json(std::get<HttpAnswer>(response).body);
     if (error_of(parsed) || runner.connections == 0) continue;
     const json::value& counts = std::get<json::value>(parsed);
-    resets += counts.at("resets").to_number<std::uint64_t>();
+    reset_connections += counts.at("resets").to_number<std::uint64_t>();
     std::cout << "        " << runner.name << ": " << counts.at("most_open") << " connections at most of "
               << runner.connections << ", " << counts.at("resets") << " reset\n";
   }
   // Who has no right to any connection may try one, and may take another daemon's; all others are within the limits.
-  const std::uint64_t strays = strays_in_logs(fleet);
-  check(resets <= strays, std::to_string(resets) + " connections were reset over a runner's limit, and " +
-                              std::to_string(strays) + " requests went over connections without a right");
+  const std::uint64_t over_share_requests = over_share_requests_in_logs(fleet);
+  check(reset_connections <= over_share_requests,
+        std::to_string(reset_connections) + " connections were reset over a runner's limit, and " +
+            std::to_string(over_share_requests) + " requests went over connections without a right");
 }
 
-void loaded(Fleet& fleet, const Options& options) {
+void run_loaded_fleet(Fleet& fleet, const Options& options) {
   fleet.start_all();
-  if (!check(Fleet::until([&] { return fleet.all_serving(); }), "all daemons serve")) return;
+  if (!check(Fleet::wait_until([&] { return fleet.all_machines_serve(); }), "all daemons serve")) return;
   if (!check(fleet.apply_configuration(), "the configuration was taken")) return;
-  check(Fleet::until([&] {
+  check(Fleet::wait_until([&] {
           for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) {
-            auto circle = fleet.circle(machine, "model");
+            auto circle = fleet.read_circle(machine, "model");
             if (!circle || circle->members.empty() || circle->warm.size() < circle->members.size()) return false;
           }
           return true;
         }),
         "the circle is warm");
   Ledger ledger(fleet.platform_ledger());
-  const pid_t caller = fleet.start(
-      {"stand-in-caller", fleet.write_plan(std::chrono::seconds(options.seconds), std::chrono::seconds(30), 0)});
+  const pid_t load_generator = fleet.start_process(
+      {"stand-in-caller", fleet.write_load_plan(std::chrono::seconds(options.seconds), std::chrono::seconds(30), 0)});
   const std::int64_t end = Ledger::milliseconds_now() + options.seconds * 1000;
   std::vector<std::string> faults;
-  std::string rest = options.faults;
-  while (!rest.empty()) {
-    const auto comma = std::min(rest.find(','), rest.size());
-    faults.push_back(rest.substr(0, comma));
-    rest.erase(0, comma + 1);
+  std::string unread_faults = options.faults;
+  while (!unread_faults.empty()) {
+    const auto comma = std::min(unread_faults.find(','), unread_faults.size());
+    faults.push_back(unread_faults.substr(0, comma));
+    unread_faults.erase(0, comma + 1);
   }
-  if (options.seed > 0) soak(fleet, options);
+  if (options.seed > 0) run_soak(fleet, options);
   for (int round = 0; !faults.empty() && Ledger::milliseconds_now() < end - 6000; ++round) {
     std::this_thread::sleep_for(std::chrono::seconds(3));
-    run_fault(fleet, ledger, faults[static_cast<std::size_t>(round) % faults.size()], round);
+    inject_fault(fleet, ledger, faults[static_cast<std::size_t>(round) % faults.size()], round);
   }
-  check(fleet.wait_for(caller) == 0, "the callers ended");
-  if (options.seed > 0) check(Fleet::until([&] { return fleet.all_serving(); }), "all daemons serve after the soak");
+  check(fleet.wait_for_exit(load_generator) == 0, "the callers ended");
+  if (options.seed > 0)
+    check(Fleet::wait_until([&] { return fleet.all_machines_serve(); }), "all daemons serve after the soak");
   check_invariants(fleet);
-  json::object totals;
-  std::uint64_t own = 0, other = 0;
+  json::object refusals_by_reason;
+  std::uint64_t own_zone_attempts = 0, other_zone_attempts = 0;
   for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine)
-    if (auto load = fleet.get(machine, "/v1/load")) {
-      own += load->at("entries").at("own_zone").to_number<std::uint64_t>();
-      other += load->at("entries").at("other_zone").to_number<std::uint64_t>();
+    if (auto load = fleet.get_json(machine, "/v1/load")) {
+      own_zone_attempts += load->at("entries").at("own_zone").to_number<std::uint64_t>();
+      other_zone_attempts += load->at("entries").at("other_zone").to_number<std::uint64_t>();
       for (const auto& each : load->at("entries").at("refusals").as_object())
-        totals[each.key()] = (totals.contains(each.key()) ? totals[each.key()].as_uint64() : 0) +
-                             each.value().to_number<std::uint64_t>();
+        refusals_by_reason[each.key()] =
+            (refusals_by_reason.contains(each.key()) ? refusals_by_reason[each.key()].as_uint64() : 0) +
+            each.value().to_number<std::uint64_t>();
     }
-  std::cout << "refusals by reason: " << json::serialize(totals) << "\nattempts in the own zone: " << own
-            << ", in other zones: " << other << "\n";
-  if (auto circle = fleet.circle(live_machine(fleet, 0), "model"))
+  std::cout << "refusals by reason: " << json::serialize(refusals_by_reason)
+            << "\nattempts in the own zone: " << own_zone_attempts << ", in other zones: " << other_zone_attempts
+            << "\n";
+  if (auto circle = fleet.read_circle(next_running_machine(fleet, 0), "model"))
     std::cout << "circle: " << circle->members.size() << " members, load " << circle->load << ", " << circle->cycle
               << " cycles\n";
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argument_count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
   Options options;
-  const option flags[] = {{"fleet", 1, nullptr, 'f'},  {"programs", 1, nullptr, 'p'}, {"folder", 1, nullptr, 'd'},
-                          {"faults", 1, nullptr, 'x'}, {"seconds", 1, nullptr, 's'},  {"share", 1, nullptr, 'r'},
-                          {"seed", 1, nullptr, 'e'},   {"keep", 0, nullptr, 'k'},     {nullptr, 0, nullptr, 0}};
-  for (int found = 0; (found = getopt_long(count, words, "", flags, nullptr)) != -1;) {
-    if (found == 'f')
+  const option option_list[] = {{"fleet", 1, nullptr, 'f'},  {"programs", 1, nullptr, 'p'}, {"folder", 1, nullptr, 'd'},
+                                {"faults", 1, nullptr, 'x'}, {"seconds", 1, nullptr, 's'},  {"share", 1, nullptr, 'r'},
+                                {"seed", 1, nullptr, 'e'},   {"keep", 0, nullptr, 'k'},     {nullptr, 0, nullptr, 0}};
+  for (int option_code = 0; (option_code = getopt_long(argument_count, arguments, "", option_list, nullptr)) != -1;) {
+    if (option_code == 'f')
       options.fleet = optarg;
-    else if (found == 'p')
+    else if (option_code == 'p')
       options.programs = optarg;
-    else if (found == 'd')
+    else if (option_code == 'd')
       options.folder = optarg;
-    else if (found == 'x')
+    else if (option_code == 'x')
       options.faults = optarg;
-    else if (found == 's')
+    else if (option_code == 's')
       options.seconds = std::stoi(optarg);
-    else if (found == 'r')
-      options.share = std::stod(optarg);
-    else if (found == 'e')
+    else if (option_code == 'r')
+      options.load_factor = std::stod(optarg);
+    else if (option_code == 'e')
       options.seed = std::stoull(optarg);
-    else if (found == 'k')
+    else if (option_code == 'k')
       options.keep = true;
     else
       return std::cerr
@@ -398,21 +415,21 @@
                     "[--seconds N] [--share X] [--faults a,b,c] [--seed N: a soak] [--keep]\n",
              2;
   }
-  if (options.programs.empty()) options.programs = std::filesystem::path(words[0]).parent_path().string();
+  if (options.programs.empty()) options.programs = std::filesystem::path(arguments[0]).parent_path().string();
   if (options.folder.empty())
     options.folder = (std::filesystem::temp_directory_path() / ("mothwalk-" + std::to_string(::getpid()))).string();
   if (options.fleet != "thin" && options.fleet != "altiplano" && options.fleet != "sestavna" &&
       options.fleet != "crowded")
     return std::cerr << "stand-in-platform: the fleet is thin, altiplano, sestavna or crowded\n", 2;
   {
-    Fleet fleet(shape_named(options.fleet, options.share), options.programs, options.folder);
+    Fleet fleet(shape_named(options.fleet, options.load_factor), options.programs, options.folder);
     if (options.fleet == "thin") {
-      thin(fleet);
+      run_thin_fleet(fleet);
     } else {
-      loaded(fleet, options);
-      const pid_t judging =
-          fleet.start({"judge", fleet.runner_ledger(), fleet.caller_ledger(), fleet.platform_ledger()});
-      check(fleet.wait_for(judging) == 0, "the judge finds nothing");
+      run_loaded_fleet(fleet, options);
+      const pid_t judge_process =
+          fleet.start_process({"judge", fleet.runner_ledger(), fleet.caller_ledger(), fleet.platform_ledger()});
+      check(fleet.wait_for_exit(judge_process) == 0, "the judge finds nothing");
     }
   }
   if (!options.keep && failed_checks == 0)
--- a/source/stand_ins/shapes.cpp
+++ b/source/stand_ins/shapes.cpp
@@ -69,7 +69,7 @@
   return shape;
 }
 
-Shape altiplano_shape(double share) {
+Shape altiplano_shape(double load_factor) {
   Shape shape;
   shape.name = "altiplano";
   const std::vector<std::string> zones{"alto", "bajo", "centro", "este"};
@@ -85,14 +85,14 @@
       {"lane/lines", json::object{{"path", "/lines"}, {"kind", "model"}, {"repeatable", true}}},
       {"lane/notices",
        json::object{{"path", "/notices"}, {"kind", "notice"}, {"repeatable", true}, {"first_piece", 2000}}}};
-  shape.streams = {StreamLoad{"audits", "/audits", 5 * share, 40, 500, 6000, 4, false},
-                   StreamLoad{"suggestions", "/suggestions", 18 * share, 10, 200, 0, 0, false},
-                   StreamLoad{"notices", "/notices", 55 * share, 0, 150, 0, 0, true}};
-  shape.lots = {LotLoad{"lines", "lines", 2 * share, 40, 100, std::chrono::milliseconds(8000), true, 10}};
+  shape.streams = {StreamLoad{"audits", "/audits", 5 * load_factor, 40, 500, 6000, 4, false},
+                   StreamLoad{"suggestions", "/suggestions", 18 * load_factor, 10, 200, 0, 0, false},
+                   StreamLoad{"notices", "/notices", 55 * load_factor, 0, 150, 0, 0, true}};
+  shape.lots = {LotLoad{"lines", "lines", 2 * load_factor, 40, 100, std::chrono::milliseconds(8000), true, 10}};
   return shape;
 }
 
-Shape sestavna_shape(double share) {
+Shape sestavna_shape(double load_factor) {
   Shape shape;
   shape.name = "sestavna";
   const std::vector<std::string> zones{"one", "two", "three"};
@@ -107,10 +107,10 @@
       {"lane/sweeps", json::object{{"path", "/sweeps"}, {"kind", "model"}, {"repeatable", true}}},
       {"lane/lookups",
        json::object{{"path", "/lookups"}, {"kind", "index"}, {"repeatable", true}, {"first_piece", 2000}}}};
-  shape.streams = {StreamLoad{"reviews", "/reviews", 4 * share, 50, 2000, 8000, 3, false},
-                   StreamLoad{"triage", "/triage", 16 * share, 12, 300, 0, 0, false},
-                   StreamLoad{"lookups", "/lookups", 55 * share, 0, 80, 0, 0, true}};
-  shape.lots = {LotLoad{"sweeps", "sweeps", 1 * share, 80, 100, std::chrono::milliseconds(15000), true, 10}};
+  shape.streams = {StreamLoad{"reviews", "/reviews", 4 * load_factor, 50, 2000, 8000, 3, false},
+                   StreamLoad{"triage", "/triage", 16 * load_factor, 12, 300, 0, 0, false},
+                   StreamLoad{"lookups", "/lookups", 55 * load_factor, 0, 80, 0, 0, true}};
+  shape.lots = {LotLoad{"sweeps", "sweeps", 1 * load_factor, 80, 100, std::chrono::milliseconds(15000), true, 10}};
   return shape;
 }
 
@@ -141,9 +141,10 @@
   add_machines(shape, 3, zones, 3);
   for (auto& machine : shape.machines) machine.keeps = "control";
   add_machines(shape, 3, zones, 0);
-  const std::size_t serving = shape.machines.size();
+  const std::size_t first_lot_machine = shape.machines.size();
   add_machines(shape, lot_machines, zones, lot_machines);
-  for (std::size_t index = serving; index < shape.machines.size(); ++index) shape.machines[index].keeps = "lots";
+  for (std::size_t index = first_lot_machine; index < shape.machines.size(); ++index)
+    shape.machines[index].keeps = "lots";
   return shape;
 }
 
@@ -171,9 +172,10 @@
   add_machines(shape, 5, zones, 5);
   for (auto& machine : shape.machines) machine.keeps = "control";
   add_machines(shape, 55, zones, 0);
-  const std::size_t serving = shape.machines.size();
+  const std::size_t first_lot_machine = shape.machines.size();
   add_machines(shape, 10, zones, 10);
-  for (std::size_t index = serving; index < shape.machines.size(); ++index) shape.machines[index].keeps = "lots";
+  for (std::size_t index = first_lot_machine; index < shape.machines.size(); ++index)
+    shape.machines[index].keeps = "lots";
   add_runners(shape, "model", 24, zones, model_slots);
   add_runners(shape, "notice", 5, zones, notice_slots);
   for (auto& runner : shape.runners) {
@@ -193,22 +195,22 @@
                                    {"refusals", json::array{429}},
                                    {"overcommit", 2.0},
                                    {"connections", notice_connections}}}};
-  auto add_lane = [&](const std::string& name, const std::string& kind, json::object more) {
+  auto add_lane = [&](const std::string& name, const std::string& kind, json::object additional_fields) {
     json::object lane{{"path", "/" + name}, {"kind", kind}, {"waiting_room", 4096}};
-    for (const auto& field : more) lane[field.key()] = field.value();
+    for (const auto& field : additional_fields) lane[field.key()] = field.value();
     shape.resources.emplace_back("lane/" + name, std::move(lane));
   };
   // As the platform has it, one time-out covers each step of a request.
-  auto times = [](int aim, int whole) {
+  auto timeouts = [](int target, int limit) {
     return json::object{
-        {"aim", aim}, {"whole", whole}, {"first_piece", whole}, {"between_pieces", whole}, {"waiting", whole}};
+        {"aim", target}, {"whole", limit}, {"first_piece", limit}, {"between_pieces", limit}, {"waiting", limit}};
   };
   for (const char* name : {"audits", "suggestions"}) {
-    json::object settings = times(500, 10000);
+    json::object settings = timeouts(500, 10000);
     settings["streaming"] = true;
     add_lane(name, "model", settings);
   }
-  json::object settings = times(200, 1500);
+  json::object settings = timeouts(200, 1500);
   settings["repeatable"] = true;
   add_lane("notices", "notice", settings);
   shape.streams = {StreamLoad{"audits", "/audits", 150, 80, 200, 0, 0, false},
@@ -238,14 +240,16 @@
   return shape;
 }
 
-Shape shape_named(const std::string& name, double share) {
+Shape shape_named(const std::string& name, double load_factor) {
   if (name == "small") return small_shape();
   if (name == "platform") return platform_shape();
   if (name == "farm") return farm_shape();
   if (name == "storage") return storage_shape();
   if (name == "grown") return grown_shape();
   if (name == "crowded") return crowded_shape();
-  return name == "altiplano" ? altiplano_shape(share) : name == "sestavna" ? sestavna_shape(share) : thin_shape();
+  return name == "altiplano"  ? altiplano_shape(load_factor)
+         : name == "sestavna" ? sestavna_shape(load_factor)
+                              : thin_shape();
 }
 
 }  // namespace mothwalk
--- a/source/stand_ins/shapes.hpp
+++ b/source/stand_ins/shapes.hpp
@@ -27,7 +27,7 @@
   std::string zone;
   bool disk = false;
   std::string keeps;  // as in Member
-  Address address, callers, control;
+  Address address, client_address, control_address;
   std::string folder;
   int pid = 0;
   // Simulated time that handling a kilobyte of a message takes; zero: none.
@@ -37,7 +37,7 @@
 struct RunnerShape {
   std::string name, kind, zone;
   Address address;
-  Address control = {};  // where a stand-in is told its mode and asked for its counts
+  Address control_address = {};  // where a stand-in is told its mode and asked for its counts
   std::uint32_t slots = 4;
   double cold = 0;
   int pid = 0;
@@ -58,8 +58,8 @@
 
 Shape thin_shape();
 Shape small_shape();  // the simulator's default: three zones, six holders of which five vote
-Shape altiplano_shape(double share);
-Shape sestavna_shape(double share);
+Shape altiplano_shape(double load_factor);
+Shape sestavna_shape(double load_factor);
 Shape platform_shape();  // as the users' platform has it: control state on edge machines' small disks, lots on others
 Shape farm_shape();      // the same with three holders of control state and three of lots, the fewest that bear a loss
 Shape storage_shape();   // eight holders of lots with slow processors, two of which may lose their disks at once
@@ -67,6 +67,6 @@
 
 Shape crowded_shape();  // real processes: more daemons than the runners of a small service take connections
 
-Shape shape_named(const std::string& name, double share);
+Shape shape_named(const std::string& name, double load_factor);
 
 }  // namespace mothwalk
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -6,80 +6,84 @@
 using namespace mothwalk;
 
 namespace {
-std::vector<json::object> lines(std::initializer_list<const char*> texts) {
-  std::vector<json::object> list;
-  for (const char* text : texts) list.push_back(std::get<json::value>(parse_json(text)).as_object());
-  return list;
+std::vector<json::object> parse_records(std::initializer_list<const char*> texts) {
+  std::vector<json::object> records;
+  for (const char* text : texts) records.push_back(std::get<json::value>(parse_json(text)).as_object());
+  return records;
 }
-bool names(const Verdict& verdict, const std::string& rule) {
-  for (const auto& each : verdict.broken)
-    if (each.starts_with(rule)) return true;
+bool reports(const Verdict& verdict, const std::string& rule) {
+  for (const auto& violation : verdict.broken)
+    if (violation.starts_with(rule)) return true;
   return false;
 }
 constexpr const char* run = R"({"what":"run","id":"a","run":"r1","runner":"m","at":100})";
-constexpr const char* run_again = R"({"what":"run","id":"a","run":"r2","runner":"m","at":200})";
-constexpr const char* whole = R"({"what":"end","id":"a","run":"r1","how":"whole","at":150})";
+constexpr const char* second_run = R"({"what":"run","id":"a","run":"r2","runner":"m","at":200})";
+constexpr const char* complete_end = R"({"what":"end","id":"a","run":"r1","how":"whole","at":150})";
 }  // namespace
 
 TEST_CASE("a sound history breaks nothing") {
   CHECK(
       judge(
-          lines(
-              {run, whole,
+          parse_records(
+              {run, complete_end,
                R"({"what":"request","id":"a","load":"l","repeatable":false,"status":200,"outcome":"answer","fault":"","run":"r1"})"}))
           .broken.empty());
   CHECK(
       judge(
-          lines(
-              {run, run_again, whole,
+          parse_records(
+              {run, second_run, complete_end,
                R"({"what":"request","id":"a","load":"l","repeatable":true,"status":200,"outcome":"answer","fault":"","run":"r1"})"}))
           .broken.empty());
 }
 
 TEST_CASE("each broken rule is named") {
-  CHECK(names(
-      judge(lines(
-          {run, run_again,
+  CHECK(reports(
+      judge(parse_records(
+          {run, second_run,
            R"({"what":"request","id":"a","load":"l","repeatable":false,"outcome":"unknown","fault":"","run":""})"})),
       "unrepeatable request run twice"));
-  CHECK(names(
-      judge(lines(
+  CHECK(reports(
+      judge(parse_records(
           {run,
            R"({"what":"request","id":"a","load":"l","repeatable":true,"status":503,"retry_after":"1","outcome":"refused","fault":"","run":""})"})),
       "refusal of work that runs"));
-  CHECK(names(
-      judge(lines(
+  CHECK(reports(
+      judge(parse_records(
           {run,
            R"({"what":"request","id":"a","load":"l","repeatable":true,"status":200,"outcome":"answer","fault":"","run":"r1"})"})),
       "false success"));
-  CHECK(names(
-      judge(lines(
-          {run, whole,
+  CHECK(reports(
+      judge(parse_records(
+          {run, complete_end,
            R"({"what":"request","id":"a","load":"l","repeatable":true,"status":200,"outcome":"answer","fault":"spliced runs","run":"r1"})"})),
       "wrong answer"));
-  CHECK(names(
-      judge(lines(
+  CHECK(reports(
+      judge(parse_records(
           {R"({"what":"request","id":"a","load":"l","repeatable":true,"status":503,"retry_after":"","outcome":"refused","fault":"","run":""})"})),
       "refusal without Retry-After"));
-  CHECK(names(judge(lines({R"({"what":"lot_vanished","id":"x"})"})), "lot vanished"));
-  CHECK(names(judge(lines({R"({"what":"result_moved","id":"x"})"})), "listed result moved"));
-  CHECK(names(judge(lines({R"({"what":"lot_unfinished","id":"x","results":1,"items":2})"})), "lot never finished"));
-  CHECK(names(
-      judge(lines(
+  CHECK(reports(judge(parse_records({R"({"what":"lot_vanished","id":"x"})"})), "lot vanished"));
+  CHECK(reports(judge(parse_records({R"({"what":"result_moved","id":"x"})"})), "listed result moved"));
+  CHECK(reports(judge(parse_records({R"({"what":"lot_unfinished","id":"x","results":1,"items":2})"})),
+                "lot never finished"));
+  CHECK(reports(
+      judge(parse_records(
           {run,
            R"({"what":"result","id":"a","lot":"x","repeatable":false,"outcome":"cancelled","fault":"","run":""})"})),
       "refusal of work that runs"));
-  const char* late = R"({"what":"run","id":"x/1","run":"r9","runner":"m","at":4000})";
+  const char* late_run = R"({"what":"run","id":"x/1","run":"r9","runner":"m","at":4000})";
+  CHECK(reports(judge(parse_records({late_run, R"({"what":"cancelled","id":"x","at":900})"})),
+                "item of a cancelled lot started late"));
+  CHECK_FALSE(reports(judge(parse_records({late_run, R"({"what":"cancelled","id":"x","at":1100})"})),
+                      "item of a cancelled lot"));
   CHECK(
-      names(judge(lines({late, R"({"what":"cancelled","id":"x","at":900})"})), "item of a cancelled lot started late"));
-  CHECK_FALSE(names(judge(lines({late, R"({"what":"cancelled","id":"x","at":1100})"})), "item of a cancelled lot"));
-  CHECK(names(judge(lines({late, R"({"what":"leaving","runners":["m"],"acknowledged":900,"until":9000})"})),
+      reports(judge(parse_records({late_run, R"({"what":"leaving","runners":["m"],"acknowledged":900,"until":9000})"})),
               "work to a leaving runner"));
-  CHECK_FALSE(names(judge(lines({late, R"({"what":"leaving","runners":["other"],"acknowledged":900,"until":9000})"})),
-                    "work to a leaving runner"));
-  CHECK(names(judge(lines({R"({"what":"run","id":"x/1","run":"r9","runner":"m","at":6000})",
-                           R"({"what":"evacuated","runners":["m"],"acknowledged":900,"until":9000})"})),
-              "work to an evacuated zone"));
-  CHECK(
-      names(judge(lines({R"({"what":"observed","name":"service back","took":13000,"limit":12000})"})), "service back"));
+  CHECK_FALSE(reports(
+      judge(parse_records({late_run, R"({"what":"leaving","runners":["other"],"acknowledged":900,"until":9000})"})),
+      "work to a leaving runner"));
+  CHECK(reports(judge(parse_records({R"({"what":"run","id":"x/1","run":"r9","runner":"m","at":6000})",
+                                     R"({"what":"evacuated","runners":["m"],"acknowledged":900,"until":9000})"})),
+                "work to an evacuated zone"));
+  CHECK(reports(judge(parse_records({R"({"what":"observed","name":"service back","took":13000,"limit":12000})"})),
+                "service back"));
 }
