--- a/source/stand_ins/caller.cpp
+++ b/source/stand_ins/caller.cpp
@@ -1,5 +1,5 @@
-// stand-in-caller: open-loop load from every kind of caller, told by a plan in JSON. It verifies each answer piece by
-// piece and each lot result by result, and writes what it saw to a ledger for the judge.
+// stand-in-caller: an open-loop load generator for all kinds of client load, described by a plan in JSON. It verifies
+// each piece of each response and each result of each lot, and writes its observations to a ledger for the judge.
 #include <getopt.h>
 
 #include <boost/beast/core.hpp>
@@ -20,10 +20,13 @@
 namespace {
 
 struct Plan {
+  // The daemons' addresses for clients.
   std::vector<Address> targets;
   std::string ledger;
+  // How long new requests are sent, and how long afterwards the results of lots are awaited.
   Duration length = std::chrono::seconds(10), settle = std::chrono::seconds(15);
-  std::uint32_t most = 0;  // stop after so many of each load; zero for no such limit
+  // The number of requests or lots after which each load ends. Zero means no limit.
+  std::uint32_t most = 0;
   std::vector<StreamLoad> streams;
   std::vector<LotLoad> lots;
   MOTHWALK_FIELDS(targets, ledger, length, settle, most, streams, lots)
@@ -31,7 +34,7 @@
 
 class LoadGenerator;
 
-// One HTTP call with pieces.
+// One HTTP request over its own connection, whose response body is passed on as it arrives.
 class HttpCall : public std::enable_shared_from_this<HttpCall> {
  public:
   using BodyHandler = std::function<void(StringView)>;
@@ -92,6 +95,7 @@
   bool connected_ = false;
 };
 
+// Sends the load of a plan and writes each outcome to the ledger.
 class LoadGenerator {
  public:
   LoadGenerator(boost::asio::io_context& context, Plan plan)
@@ -114,11 +118,13 @@
     const LotLoad* load;
     std::string body;
     bool acknowledged = false, cancelled = false;
-    std::vector<std::string> listed_results;  // results by position, as first read
+    // The results by position, as they were first read.
+    std::vector<std::string> listed_results;
     std::int64_t submitted_at = 0, retry_until = 0, acknowledged_at = 0;
     std::uint32_t attempts = 0;
   };
 
+  // Returns a random number from 0 to 1 (xorshift).
   double draw_uniform() {
     random_state_ ^= random_state_ << 13;
     random_state_ ^= random_state_ >> 7;
@@ -134,7 +140,8 @@
         context_, std::chrono::microseconds(static_cast<std::int64_t>(milliseconds * 1000)));
     timer->async_wait([timer, callback](const boost::system::error_code&) { callback(); });
   }
-  // Open loop: the next arrival does not wait for the last answer.
+  // Sends requests with exponentially distributed gaps. The load is open-loop: no request waits for an earlier
+  // response.
   void schedule_arrivals(double rate, std::function<void(std::uint64_t)> send, std::uint64_t number = 0) {
     if (rate <= 0) return;
     run_after(-std::log(1.0 - draw_uniform()) * 1000.0 / rate, [this, rate, send, number] {
@@ -202,7 +209,8 @@
     call->start(std::chrono::seconds(90));
   }
 
-  // Each line is "id run index count"; the lines of one answer come from one run, in order, and all where it is whole.
+  // Returns what is wrong with a streamed response, or an empty text. Each line is "id run index count". All lines of
+  // one response have to come from one run and be in order, and a complete response has to have all of them.
   static std::string check_streamed_response(const std::string& id, std::uint32_t pieces, const std::string& text,
                                              bool complete, std::string& run) {
     std::istringstream lines(text);
@@ -224,6 +232,7 @@
       return "a partial answer looks whole: " + std::to_string(expected_index) + " of " + std::to_string(pieces);
     return "";
   }
+  // Returns what is wrong with a response that is one JSON document, or an empty text.
   static std::string check_plain_response(const std::string& id, const std::string& text, std::string& run) {
     auto parsed = parse_json(text);
     if (error_of(parsed)) return "garbled answer";
@@ -285,7 +294,8 @@
         return poll_results(lot);
       }
       ledger_.write({{"what", "lot_try"}, {"id", lot->id}, {"status", status}, {"reason", text}});
-      // Refused, unknown or unreachable: the same id and body again settles it.
+      // The lot was refused, its outcome is unknown or the daemon was unreachable. Sending the same id and body again
+      // is safe, since it creates the lot only if it does not exist.
       if (Ledger::milliseconds_now() < lot->retry_until && ++lot->attempts < 200)
         return run_after(300, [this, lot] { submit_lot(lot); });
       ledger_.write({{"what", "lot_given_up"}, {"id", lot->id}});
@@ -320,6 +330,7 @@
                  });
   }
 
+  // Writes new results to the ledger, and each result that differs from the one first read at its position.
   void record_results(std::shared_ptr<LotState> lot, const std::string& text, std::size_t first_position) {
     auto parsed = parse_json(text);
     if (error_of(parsed)) return;
@@ -355,7 +366,8 @@
     }
   }
 
-  // A listed result neither moves nor changes: the whole list is read once more from another daemon.
+  // Reads the complete list once more, from a daemon drawn at random, since a listed result must neither change nor
+  // move to another position.
   void read_results_again(std::shared_ptr<LotState> lot) {
     send_request(
         "GET", "/lots/" + lot->id + "/results?after=0&limit=1000", "", [this, lot](int status, std::string text) {
@@ -382,13 +394,15 @@
 
 int main(int argument_count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  if (argument_count != 2) return std::cerr << "stand-in-caller: give one plan file\n", 2;
+  if (argument_count != 2)
+    return std::cerr << "stand-in-caller: expected exactly one argument, the path of a plan file\n", 2;
   std::ifstream stream(arguments[1]);
   const std::string text((std::istreambuf_iterator<char>(stream)), std::istreambuf_iterator<char>());
   auto plan = from_json<Plan>(text);
   if (auto error = error_of(plan))
     return std::cerr << "stand-in-caller: " << error->field << ": " << error->message << "\n", 2;
-  if (std::get<Plan>(plan).targets.empty()) return std::cerr << "stand-in-caller: the plan has no targets\n", 2;
+  if (std::get<Plan>(plan).targets.empty())
+    return std::cerr << "stand-in-caller: the plan has no targets; list at least one address of a daemon\n", 2;
   boost::asio::io_context context(1);
   LoadGenerator generator(context, std::move(std::get<Plan>(plan)));
   generator.start();
--- a/source/stand_ins/fleet.cpp
+++ b/source/stand_ins/fleet.cpp
@@ -1,4 +1,4 @@
-// The handling of a fleet's processes and the operator's calls to it.
+// Starts and stops the processes of a fleet and sends the operator's calls to them.
 #include "stand_ins/fleet.hpp"
 
 #include <signal.h>
@@ -17,11 +17,11 @@
 
 namespace {
 
-constexpr int first_port = 10240, port_block_count = 160,
-              ports_per_block = 128;  // below those that systems give out by themselves
+// The ports lie below the range from which systems choose ephemeral ports.
+constexpr int first_port = 10240, port_block_count = 160, ports_per_block = 128;
 
-// Ports that were free a moment ago, from a block of this process. All are held open until every one is found, so that
-// none is given twice.
+// Returns ports that are free at the time of the call, from a block of ports for this process. All of them stay bound
+// until the last one is found, so that no port is returned twice.
 std::vector<int> free_ports(std::size_t count) {
   boost::asio::io_context context;
   std::vector<boost::asio::ip::tcp::acceptor> bound_acceptors;
@@ -35,7 +35,8 @@
     bound_acceptors.push_back(std::move(acceptor));
     ports.push_back(port);
   }
-  if (ports.size() < count) throw std::runtime_error("there are not enough free ports on this machine");
+  if (ports.size() < count)
+    throw std::runtime_error("too few free TCP ports on 127.0.0.1 for the fleet; end other fleets on this machine");
   return ports;
 }
 
@@ -91,7 +92,7 @@
 
 void Fleet::start_machine(std::size_t index) {
   MachineShape& machine = shape.machines[index];
-  // The first three machines with disks are the seeds.
+  // The first three machines, which all have disks, are the seeds.
   const std::string seeds =
       shape.machines[0].address.text + "," + shape.machines[1].address.text + "," + shape.machines[2].address.text;
   std::vector<std::string> command_line{"mothwalk-daemon",
@@ -225,7 +226,7 @@
 bool Fleet::apply_configuration() {
   std::size_t machine = 0;
   auto apply_through_next_machine = [&](const std::string& type, const std::string& name, const json::object& spec) {
-    // Each call goes to another daemon: any of them takes it.
+    // Each call goes to another daemon, since every daemon accepts changes.
     return wait_until([&] { return apply(machine++ % shape.machines.size(), type, name, spec); });
   };
   for (const auto& [key, spec] : shape.resources) {
--- a/source/stand_ins/judge.cpp
+++ b/source/stand_ins/judge.cpp
@@ -1,4 +1,5 @@
-// judge: reads ledgers, prints what was counted and names every broken never-rule; ends with 1 if there is one.
+// judge: reads ledgers, prints the counts and durations found in them, and lists each violation of a rule that must
+// always hold. The exit code is 1 if there is a violation and 2 if the ledgers can't be judged.
 #include "stand_ins/judge.hpp"
 
 #include <algorithm>
@@ -6,11 +7,11 @@
 
 int main(int argument_count, char** arguments) {
   using namespace mothwalk;
-  if (argument_count < 2) return std::cerr << "judge: give the ledgers\n", 2;
+  if (argument_count < 2) return std::cerr << "judge: pass the paths of the ledgers as arguments\n", 2;
   std::vector<json::object> lines;
   for (int index = 1; index < argument_count; ++index)
     for (auto& line : read_ledger(arguments[index])) lines.push_back(std::move(line));
-  if (lines.empty()) return std::cerr << "judge: the ledgers are empty\n", 2;
+  if (lines.empty()) return std::cerr << "judge: the ledgers contain no records\n", 2;
   Verdict verdict = judge(lines);
   for (const auto& [name, occurrences] : verdict.counts) std::cout << name << ": " << occurrences << "\n";
   for (auto* samples_by_name : {&verdict.took, &verdict.first})
--- a/source/stand_ins/judge.hpp
+++ b/source/stand_ins/judge.hpp
@@ -1,23 +1,32 @@
-// The judge's rules, over ledgers as lists of JSON lines. Each broken never-rule is named with its evidence.
+// The judge checks the ledgers of a test run, given as lists of JSON objects, against the rules that must always hold.
+// It reports each violation with its evidence.
 #pragma once
 #include "coding/json.hpp"
 
 namespace mothwalk {
 
 struct Verdict {
+  // The violations, each as the violated rule and its evidence.
   std::vector<std::string> broken;
+  // How often each outcome and event occurred.
   std::map<std::string, std::uint64_t> counts;
-  std::map<std::string, std::vector<std::int64_t>> took;  // milliseconds, by load
+  // Durations in milliseconds by load or by measurement: until the end of the response, and until its first piece.
+  std::map<std::string, std::vector<std::int64_t>> took;
   std::map<std::string, std::vector<std::int64_t>> first;
-  std::int64_t proper = 0, refused = 0;  // live requests
+  // The number of live requests, and how many of them the daemons refused.
+  std::int64_t proper = 0, refused = 0;
 };
 
-// What a run may show at most; the rules without a number here allow none.
+// The bounds for a test run. A rule without a bound here allows no violation at all.
 struct Limits {
-  std::int64_t result_lag = INT64_MAX;       // milliseconds from an item's end at its runner to its first listing
-  std::int64_t refused_per_thousand = 1000;  // live requests that the daemons themselves turned away
+  // The most milliseconds from the end of an item's run until a client first reads its result.
+  std::int64_t result_lag = INT64_MAX;
+  // The most live requests that the daemons themselves may refuse, per thousand.
+  std::int64_t refused_per_thousand = 1000;
 };
+// Checks the records of all ledgers of a test run together.
 Verdict judge(const std::vector<json::object>& lines, const Limits& limits = {});
+// Reads the records of a ledger file. A line that is not a JSON object is skipped.
 std::vector<json::object> read_ledger(const std::string& path);
 
 }  // namespace mothwalk
--- a/source/stand_ins/judge_rules.cpp
+++ b/source/stand_ins/judge_rules.cpp
@@ -1,4 +1,4 @@
-// The rules of the judge.
+// Reads ledgers and checks their records against the rules.
 #include <algorithm>
 #include <fstream>
 
@@ -12,7 +12,7 @@
   std::string line;
   while (std::getline(stream, line)) {
     auto parsed = parse_json(line);
-    // A killed writer may leave half a line; every other line is whole.
+    // A process that was killed while writing may leave an incomplete line, which is skipped.
     if (!error_of(parsed) && std::get<json::value>(parsed).is_object())
       lines.push_back(std::get<json::value>(parsed).as_object());
   }
@@ -112,6 +112,7 @@
             if (integer_field(*run, "at") > integer_field(line, "at") + 3000)
               report_violation("item of a cancelled lot started late", item);
     } else if (event == "leaving" || event == "evacuated") {
+      // Runners may get work for at most this long after the acknowledgement of the operator's change, in milliseconds.
       const std::int64_t limit = event == "leaving" ? 3000 : 5000;
       const auto* until = line.if_contains("until");
       std::int64_t longest_delay = 0;
--- a/source/stand_ins/ledger.hpp
+++ b/source/stand_ins/ledger.hpp
@@ -1,5 +1,5 @@
-// Ledgers of the stand-ins: one JSON object a line, written through at once, with the steady time in milliseconds that
-// all processes of one machine share.
+// The ledger of a stand-in program: a file of JSON objects, one per line. Each record is written at once and has the
+// steady clock's time in milliseconds, which is the same for all processes on one machine.
 #pragma once
 #include <fcntl.h>
 #include <unistd.h>
@@ -9,6 +9,7 @@
 
 namespace mothwalk {
 
+// Appends records to a ledger file. With an empty path nothing is written.
 class Ledger {
  public:
   explicit Ledger(const std::string& path)
--- a/source/stand_ins/platform.cpp
+++ b/source/stand_ins/platform.cpp
@@ -1,5 +1,5 @@
-// stand-in-platform: starts a fleet on this machine, plays the operator and the platform towards it, brings failures
-// about and lets the judge speak.
+// stand-in-platform: starts a fleet on this machine, acts as its operator and as the platform around it, injects faults
+// and checks the ledgers with the judge.
 #include <getopt.h>
 #include <csignal>
 
@@ -22,10 +22,12 @@
   int seconds = 20;
   double load_factor = 1.0;
   bool keep = false;
-  std::uint64_t seed = 0;  // of a soak
+  // The seed of a soak test. Zero means that there is none.
+  std::uint64_t seed = 0;
 };
 
 int failed_checks = 0;
+// Prints the result of a check and counts it if it failed.
 bool check(bool passed, const std::string& description) {
   std::cout << (passed ? "ok      " : "FAILED  ") << description << std::endl;
   failed_checks += !passed;
@@ -39,7 +41,7 @@
   return lines;
 }
 
-// Sends bytes as they are and gives what comes back until the other side closes.
+// Sends the bytes and returns what is received until the other side closes the connection.
 std::string exchange_bytes(const Address& address, const std::string& bytes) {
   boost::asio::io_context context(1);
   boost::asio::ip::tcp::socket socket(context);
@@ -53,7 +55,7 @@
   return response;
 }
 
-// No input ends a daemon, and each fault is told in its way.
+// Checks that no input ends a daemon and that each kind of bad input gets its own error response.
 void check_bad_input(Fleet& fleet) {
   const MachineShape& machine = fleet.shape.machines[1];
   auto response_status = [&](const Address& address, StringView method, const std::string& target, StringView body) {
@@ -88,7 +90,7 @@
         "a kind that lanes lead to can't be removed");
   check(response_status(machine.control_address, "PUT", "/v1/resources/teapot/x", "{}") == 404,
         "an unknown type is refused");
-  // Runners that answer nonsense: unknown for the caller, never a success.
+  // If a runner's response is not HTTP, the client gets an error with the outcome "unknown", never a success.
   for (const auto& runner : fleet.shape.runners)
     response_status(runner.control_address, "POST", "/stand-in/mode/nonsense", "");
   auto nonsense_response = http_call(machine.client_address, "POST", "/audits", "x", std::chrono::seconds(30));
@@ -102,7 +104,7 @@
   check(Fleet::wait_until([&] { return fleet.all_machines_serve(); }), "all daemons serve after the bad input");
 }
 
-// The thin path, by events alone: every step waits for what it needs and nothing depends on speed.
+// Tests each basic function once. Each step waits for the event that it needs, so that no check depends on speed.
 void run_thin_fleet(Fleet& fleet) {
   fleet.start_all();
   check(Fleet::wait_until([&] { return fleet.all_machines_serve(); }),
@@ -118,7 +120,7 @@
         }),
         "the circle stands, with the floor inside and the reserve outside");
   for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) {
-    // The platform's own client is a caller through each single daemon.
+    // The HTTP client of this program sends a request through each daemon.
     auto response = http_call(fleet.shape.machines[machine].client_address, "POST", "/audits", "a receipt",
                               std::chrono::seconds(30));
     const bool passed = !error_of(response) && std::get<HttpAnswer>(response).status == 200 &&
@@ -146,7 +148,7 @@
     all_outside_circle = all_outside_circle && std::find(circle->members.begin(), circle->members.end(),
                                                          RunnerId(name)) == circle->members.end();
   check(all_outside_circle, "the items ran on runners outside the circle alone");
-  // An operator's stale version and a faulty document change nothing.
+  // An update with a stale version and an invalid document are refused and change nothing.
   const std::string path = "/v1/resources/lane/audits";
   auto stale_response = http_call(fleet.shape.machines[2].control_address, "PUT", path + "?version=0",
                                   R"({"path":"/audits","kind":"model"})", std::chrono::seconds(10));
@@ -157,7 +159,7 @@
             std::get<HttpAnswer>(faulty_response).body.find("retires") != std::string::npos,
         "an unknown field is refused by its name");
   check_bad_input(fleet);
-  // Everything down at once and back.
+  // All daemons are killed and started again.
   for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) fleet.stop_machine(machine, SIGKILL);
   for (std::size_t machine = 0; machine < fleet.shape.machines.size(); ++machine) fleet.start_machine(machine);
   check(Fleet::wait_until([&] { return fleet.all_machines_serve() && fleet.applied_by_all(0, "lane", "audits"); }),
@@ -175,6 +177,7 @@
     check(fleet.drain_machine(machine) == 0, "daemon " + std::to_string(machine) + " drained and ended with 0");
 }
 
+// Prints a measured duration and writes it to the ledger. The judge reports one over the limit.
 void record_observation(Ledger& ledger, const std::string& name, std::int64_t milliseconds,
                         std::optional<std::int64_t> limit) {
   json::object line{{"what", "observed"}, {"name", name}, {"took", milliseconds}};
@@ -183,12 +186,14 @@
   ledger.write(std::move(line));
 }
 
+// Returns the milliseconds until the condition holds, at most a minute.
 std::int64_t time_until(std::function<bool()> condition) {
   const std::int64_t began = Ledger::milliseconds_now();
   Fleet::wait_until(std::move(condition), std::chrono::seconds(60));
   return Ledger::milliseconds_now() - began;
 }
 
+// Returns the first machine with a running daemon, starting at this index.
 std::size_t next_running_machine(const Fleet& fleet, std::size_t from) {
   for (std::size_t step = 0; step < fleet.shape.machines.size(); ++step)
     if (const std::size_t index = (from + step) % fleet.shape.machines.size(); fleet.shape.machines[index].pid > 0)
@@ -196,7 +201,7 @@
   return 0;
 }
 
-// Seen by every live daemon's own table, whose versions are compared with the one just acknowledged.
+// Returns whether each running daemon lists the resource with at least this version.
 bool visible_everywhere(Fleet& fleet, const std::string& type, const std::string& name, std::uint64_t version) {
   for (std::size_t index = 0; index < fleet.shape.machines.size(); ++index) {
     if (fleet.shape.machines[index].pid == 0) continue;
@@ -211,6 +216,7 @@
   return true;
 }
 
+// Changes a lane and measures how long the change takes to reach all daemons.
 void measure_configuration_change(Fleet& fleet, Ledger& ledger, int round) {
   json::object spec;
   for (const auto& [key, given] : fleet.shape.resources)
@@ -299,9 +305,8 @@
                        }),
                        12000);
   } else {
-    check(false,
-          "the fault '" + fault +
-              "' is not known; use kill, wipe, freeze, configuration, runner-crash, leaving, evacuate, total-loss");
+    check(false, "unknown fault '" + fault +
+                     "'; use kill, wipe, freeze, configuration, runner-crash, leaving, evacuate, total-loss");
   }
 }
 
@@ -312,7 +317,7 @@
   Soak(fleet, injected_faults).run();
 }
 
-// What must hold over all daemons together, whatever befell them.
+// Checks what must hold for all daemons together, whatever faults were injected.
 void check_invariants(Fleet& fleet) {
   for (const auto& violation : log_lines_containing(fleet, "Invariant violated")) check(false, violation);
   std::uint64_t reset_connections = 0;
@@ -326,13 +331,16 @@
     std::cout << "        " << runner.name << ": " << counts.at("most_open") << " connections at most of "
               << runner.connections << ", " << counts.at("resets") << " reset\n";
   }
-  // Who has no right to any connection may try one, and may take another daemon's; all others are within the limits.
+  // A daemon whose share of a runner's connections is zero may still try one connection and may thereby take one that
+  // belongs to another daemon's share. All other connections are within the limits, so only these requests can cause
+  // resets.
   const std::uint64_t over_share_requests = over_share_requests_in_logs(fleet);
   check(reset_connections <= over_share_requests,
         std::to_string(reset_connections) + " connections were reset over a runner's limit, and " +
             std::to_string(over_share_requests) + " requests went over connections without a right");
 }
 
+// Starts a fleet, sends load to it, injects faults meanwhile and checks the invariants at the end.
 void run_loaded_fleet(Fleet& fleet, const Options& options) {
   fleet.start_all();
   if (!check(Fleet::wait_until([&] { return fleet.all_machines_serve(); }), "all daemons serve")) return;
@@ -412,7 +420,7 @@
     else
       return std::cerr
                  << "stand-in-platform --fleet thin|altiplano|sestavna|crowded [--programs FOLDER] [--folder FOLDER] "
-                    "[--seconds N] [--share X] [--faults a,b,c] [--seed N: a soak] [--keep]\n",
+                    "[--seconds N] [--share X] [--faults a,b,c] [--seed N (runs a soak test)] [--keep]\n",
              2;
   }
   if (options.programs.empty()) options.programs = std::filesystem::path(arguments[0]).parent_path().string();
@@ -420,7 +428,7 @@
     options.folder = (std::filesystem::temp_directory_path() / ("mothwalk-" + std::to_string(::getpid()))).string();
   if (options.fleet != "thin" && options.fleet != "altiplano" && options.fleet != "sestavna" &&
       options.fleet != "crowded")
-    return std::cerr << "stand-in-platform: the fleet is thin, altiplano, sestavna or crowded\n", 2;
+    return std::cerr << "stand-in-platform: unknown fleet; --fleet has to be thin, altiplano, sestavna or crowded\n", 2;
   {
     Fleet fleet(shape_named(options.fleet, options.load_factor), options.programs, options.folder);
     if (options.fleet == "thin") {
--- a/source/stand_ins/runner.cpp
+++ b/source/stand_ins/runner.cpp
@@ -1,6 +1,7 @@
-// stand-in-runner: plays a model runner with prefill and decode, a slot limit, a cache of prompt prefixes and a cold
-// start, and misbehaves on demand. It logs every run by request id. Each piece names the request, the run and its place
-// in the stream, so that a caller can tell loss, repetition, splicing and foreign answers.
+// stand-in-runner: a test double of a model runner. It simulates prefill and decode times, a slot limit, a cache of
+// prompt prefixes and a cold start, and it misbehaves on request. It writes each run with its request id to a ledger.
+// Each piece of a streamed response contains the request id, the run id and its index, so that a client can detect
+// lost, repeated and mixed pieces and responses to other requests.
 #include <getopt.h>
 
 #include <boost/beast/core.hpp>
@@ -20,14 +21,22 @@
 
 namespace {
 
+// The settings and counters of the simulated runner, shared by all of its connections.
 struct RunnerState {
   std::string name = "runner";
   std::uint32_t slots = 4;
-  double prefill_milliseconds_per_kilobyte = 2.0, decode_milliseconds = 8.0, cold_milliseconds = 0;  // milliseconds
-  std::string mode = "sound";                // sound, dark, slow, truncate, nonsense, lost
-  std::uint32_t max_connections = 0;         // that it takes from all callers together, the rest it resets; 0: no bound
-  std::chrono::milliseconds idle_timeout{};  // that it keeps idle connections; 0: it closes each after an answer
-  std::uint32_t open_connections = 0, max_open_connections = 0;  // connections of callers
+  // The decode time is the time for each piece of a response. The cold period follows the start of the process.
+  double prefill_milliseconds_per_kilobyte = 2.0, decode_milliseconds = 8.0, cold_milliseconds = 0;
+  // "sound" responds normally, "dark" sends no response, "slow" takes six times as long, "truncate" closes the
+  // connection in the middle of a stream, "nonsense" sends bytes that are not HTTP, and "lost" completes a run without
+  // a response, except for streams.
+  std::string mode = "sound";
+  // Connections of clients beyond this number are reset. Zero means no limit.
+  std::uint32_t max_connections = 0;
+  // How long an idle connection stays open. With zero, each connection is closed after its response.
+  std::chrono::milliseconds idle_timeout{};
+  // Only connections of clients count here, not those for the control endpoints of the stand-in.
+  std::uint32_t open_connections = 0, max_open_connections = 0;
   std::uint64_t reset_connections = 0;
   std::int64_t started_at = Ledger::milliseconds_now();
   std::uint32_t active_runs = 0, max_active_runs = 0, max_active_runs_cold = 0;
@@ -39,6 +48,7 @@
   bool is_cold() const {
     return cold_milliseconds > 0 && static_cast<double>(Ledger::milliseconds_now() - started_at) < cold_milliseconds;
   }
+  // Marks the prefix as the most recently used one and returns whether it was cached. The cache holds three prefixes.
   bool use_cached_prefix(std::uint64_t prefix) {
     auto position = std::find(prefixes.begin(), prefixes.end(), prefix);
     const bool hit = position != prefixes.end();
@@ -50,9 +60,10 @@
   }
 };
 
+// One connection, of a client or to the control endpoints. It reads and answers requests one after the other.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  // Connections over which the stand-in itself is asked do not count.
+  // Connections to the control endpoints (`from_client` is false) do not count toward the connection limit.
   Connection(boost::asio::io_context& context, tcp::socket socket, RunnerState& state, Ledger& ledger, bool from_client)
       : context_(context),
         stream_(std::move(socket)),
@@ -66,7 +77,7 @@
     release_slot();
     if (from_client_) --state_.open_connections;
   }
-  // Reads one request, for as long as an idle connection is kept.
+  // Waits for one request, at most for the idle timeout if there is one.
   void read_request() {
     parser_.emplace();
     parser_->body_limit(32u << 20);
@@ -165,6 +176,7 @@
     });
   }
 
+  // Calls back after this time, prolonged where the mode is "slow" or the runner is cold.
   void run_after(double milliseconds, std::function<void()> callback) {
     const double factor = (state_.mode == "slow" ? 6.0 : 1.0) * (state_.is_cold() ? 2.0 : 1.0);
     timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(milliseconds * factor * 1000)));
@@ -173,11 +185,13 @@
     });
   }
 
+  // Writes the end of the run to the ledger and releases its slot.
   void record_end(const std::string& how) {
     ledger_.write({{"what", "end"}, {"id", id_}, {"run", run_}, {"how", how}});
     release_slot();
   }
 
+  // Releases the slot of this run and starts the next queued request.
   void release_slot() {
     if (!occupies_slot_) return;
     occupies_slot_ = false;
@@ -189,7 +203,7 @@
     boost::asio::post(context_, next);
   }
 
-  // Nothing is answered; a caller that closes its connection frees it.
+  // Sends no response and keeps the connection until the client closes it.
   void wait_for_disconnect() {
     stream_.socket().async_wait(tcp::socket::wait_read,
                                 [self = shared_from_this()](const boost::system::error_code&) {});
@@ -208,7 +222,7 @@
 
   void finish_response() { state_.idle_timeout >= std::chrono::seconds(1) ? read_request() : close(); }
 
-  // The work is done, and nobody hears of it.
+  // Records the run as done, but closes the connection without a response.
   void close_without_response() {
     record_end("lost");
     boost::system::error_code ignored;
@@ -242,6 +256,7 @@
   bool occupies_slot_ = false;
   const bool from_client_;
   std::int64_t run_started_at_ = 0;
+  // Keeps this connection alive while its request waits in the queue.
   std::shared_ptr<Connection> self_while_queued_;
 };
 
@@ -281,14 +296,14 @@
       return 2;
   }
   const auto endpoint = endpoint_of(Address(address));
-  if (!endpoint) return std::cerr << "stand-in-runner: --address IP:PORT is missing\n", 2;
+  if (!endpoint) return std::cerr << "stand-in-runner: --address is missing or not of the form IP:PORT\n", 2;
   boost::asio::io_context context(1);
   Ledger ledger(ledger_path);
   tcp::acceptor client_acceptor(context, *endpoint, true);
   std::optional<tcp::acceptor> control_acceptor;
   if (!control.empty()) {
     const auto control_endpoint = endpoint_of(Address(control));
-    if (!control_endpoint) return std::cerr << "stand-in-runner: --control is no IP:PORT\n", 2;
+    if (!control_endpoint) return std::cerr << "stand-in-runner: --control is not of the form IP:PORT\n", 2;
     control_acceptor.emplace(context, *control_endpoint, true);
   }
   std::function<void(tcp::acceptor&, bool)> accept_next = [&](tcp::acceptor& acceptor, bool from_client) {
--- a/source/stand_ins/shapes.cpp
+++ b/source/stand_ins/shapes.cpp
@@ -1,4 +1,5 @@
-// The shapes. Rates are those of the brief where it states them; their share of it is the caller's to choose.
+// Defines the shapes. Where the users of a deployment state their request rates, the loads have these rates, multiplied
+// by the given load factor.
 #include "stand_ins/shapes.hpp"
 
 namespace mothwalk {
@@ -73,7 +74,8 @@
   Shape shape;
   shape.name = "altiplano";
   const std::vector<std::string> zones{"alto", "bajo", "centro", "este"};
-  // Four storage machines and four edge machines with disks, then nine edge machines without.
+  // The first eight machines have disks: four storage machines and four edge machines. The other nine are edge machines
+  // without disks.
   add_machines(shape, 17, zones, 8);
   add_runners(shape, "model", 12, zones, 4);
   add_runners(shape, "notice", 4, zones, 8);
@@ -131,7 +133,8 @@
   return shape;
 }
 
-// Machines that keep control state, machines that keep nothing and machines that keep lots, three zones of each.
+// Three machines that store control state, three that store nothing, and machines that store lots. Each of these groups
+// spans three zones.
 Shape shape_by_roles(std::string name, std::size_t lot_machines) {
   Shape shape = small_shape();
   shape.name = std::move(name);
@@ -153,7 +156,7 @@
 }
 
 Shape storage_shape() {
-  // What a third of a core was seen to take for records of lots on the users' platform.
+  // How long a third of a processor core takes to handle a kilobyte of lot records on the users' platform.
   constexpr Duration storage_time_per_kilobyte = std::chrono::microseconds(80);
   Shape shape = shape_by_roles("storage", 8);
   for (auto& machine : shape.machines)
@@ -200,7 +203,7 @@
     for (const auto& field : additional_fields) lane[field.key()] = field.value();
     shape.resources.emplace_back("lane/" + name, std::move(lane));
   };
-  // As the platform has it, one time-out covers each step of a request.
+  // As on the users' platform, the same timeout applies to each step of a request.
   auto timeouts = [](int target, int limit) {
     return json::object{
         {"aim", target}, {"whole", limit}, {"first_piece", limit}, {"between_pieces", limit}, {"waiting", limit}};
--- a/source/stand_ins/soak.cpp
+++ b/source/stand_ins/soak.cpp
@@ -1,4 +1,4 @@
-// Drawing and playing of a soak's troubles.
+// Draws the faults of a soak test and injects them.
 #include "stand_ins/soak.hpp"
 
 #include <signal.h>
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -1,4 +1,4 @@
-// Each rule of the judge is fed a history that breaks it, and one that does not.
+// Guards each rule of the judge: a history that violates the rule is reported, and a correct history is not.
 #include <catch2/catch.hpp>
 
 #include "stand_ins/judge.hpp"
@@ -21,7 +21,7 @@
 constexpr const char* complete_end = R"({"what":"end","id":"a","run":"r1","how":"whole","at":150})";
 }  // namespace
 
-TEST_CASE("a sound history breaks nothing") {
+TEST_CASE("the judge reports no violation in a correct history") {
   CHECK(
       judge(
           parse_records(
@@ -36,7 +36,7 @@
           .broken.empty());
 }
 
-TEST_CASE("each broken rule is named") {
+TEST_CASE("the judge reports each rule that a history violates") {
   CHECK(reports(
       judge(parse_records(
           {run, second_run,
