--- a/source/stand_ins/ledger.hpp
+++ b/source/stand_ins/ledger.hpp
@@ -1,5 +1,5 @@
-// Ledgers of the stand-ins: one JSON object a line, written through at once, with the steady time in milliseconds that
-// all processes of one machine share.
+// The ledger of a stand-in program: a file of JSON objects, one per line. Each record is written at once and has the
+// steady clock's time in milliseconds, which is the same for all processes on one machine.
 #pragma once
 #include <fcntl.h>
 #include <unistd.h>
@@ -9,23 +9,24 @@
 
 namespace mothwalk {
 
+// Appends records to a ledger file. With an empty path nothing is written.
 class Ledger {
  public:
   explicit Ledger(const std::string& path)
-      : file_(path.empty() ? -1 : ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {}
+      : descriptor_(path.empty() ? -1 : ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {}
   ~Ledger() {
-    if (file_ >= 0) ::close(file_);
+    if (descriptor_ >= 0) ::close(descriptor_);
   }
-  void write(json::object line) {
-    if (file_ < 0) return;
-    line["at"] = milliseconds_now();
-    const std::string text = json::serialize(line) + "\n";
-    if (::write(file_, text.data(), text.size()) < 0) std::abort();
+  void write(json::object record) {
+    if (descriptor_ < 0) return;
+    record["at"] = milliseconds_now();
+    const std::string text = json::serialize(record) + "\n";
+    if (::write(descriptor_, text.data(), text.size()) < 0) std::abort();
   }
   static std::int64_t milliseconds_now() { return steady_now().microseconds / 1000; }
 
  private:
-  int file_;
+  int descriptor_;
 };
 
 }  // namespace mothwalk
