--- a/source/configuration/resources.cpp
+++ b/source/configuration/resources.cpp
@@ -144,7 +144,7 @@
   for (const Roster* roster : {&view.roster, &view.lot_roster}) {
     if (is_voter) break;
     other_voters = 0;
-    for (const auto& voter : roster->seats) {
+    for (const auto& voter : roster->voters) {
       auto mark_of_other = view.holders.find(voter.address.text);
       if (voter.address.text == name)
         is_voter = true;
@@ -189,7 +189,7 @@
 }  // namespace
 
 bool Roster::seated(const StorageNodeId& holder) const {
-  for (const auto& voter : seats)
+  for (const auto& voter : voters)
     if (voter.holder == holder) return true;
   return false;
 }
--- a/source/configuration/resources.hpp
+++ b/source/configuration/resources.hpp
@@ -209,9 +209,9 @@
 // into slots; each slot is owned by one voter, which orders the writes to its keys.
 struct Roster {
   Version version;
-  std::vector<Voter> seats;  // The voters.
-  MOTHWALK_FIELDS(version, seats)
-  std::size_t majority() const { return seats.size() / 2 + 1; }
+  std::vector<Voter> voters;
+  MOTHWALK_FIELDS_AS("version", version, "seats", voters)
+  std::size_t majority() const { return voters.size() / 2 + 1; }
   // Whether the storage node is a voter.
   bool seated(const StorageNodeId& holder) const;
 };
@@ -279,7 +279,7 @@
 
   // The roster whose voters store the key.
   const Roster& roster_of(StringView key) const {
-    return key.starts_with("lot/") && !lot_roster.seats.empty() ? lot_roster : roster;
+    return key.starts_with("lot/") && !lot_roster.voters.empty() ? lot_roster : roster;
   }
   bool evacuated(const ZoneId& zone) const;
   // The lane for a request: the one with the longest path that is a prefix of the given one. Lanes for this host take
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -352,7 +352,7 @@
                       {"members", members->all.size()},
                       {"control", members->control_daemons},
                       {"roster", configuration->roster.version.value},
-                      {"seats", configuration->roster.seats.size()},
+                      {"seats", configuration->roster.voters.size()},
                       {"digest", std::to_string(configuration->digest)},
                       {"evacuated", zones}};
 }
@@ -424,7 +424,7 @@
     bool complete = true;
   };
   auto collected = std::make_shared<Collected>();
-  const auto& voters = configuration->roster_of("lot/").seats;
+  const auto& voters = configuration->roster_of("lot/").voters;
   collected->replies_missing = voters.size();
   if (collected->replies_missing == 0)
     return respond(error_reply(
--- a/source/gossip/configuration_gossip.cpp
+++ b/source/gossip/configuration_gossip.cpp
@@ -74,10 +74,10 @@
 // The lease that this daemon can grant: how long its latest comparisons with a majority of the voters stay valid. Zero
 // where that is over, or where this is not a control daemon.
 Duration ConfigurationGossip::majority_lease() const {
-  if (!control_ || view_.roster.seats.empty()) return Duration{};
+  if (!control_ || view_.roster.voters.empty()) return Duration{};
   const TimePoint now = messenger_.timers().now();
   std::vector<Duration> remaining;
-  for (const auto& voter : view_.roster.seats) {
+  for (const auto& voter : view_.roster.voters) {
     if (voter.address == messenger_.self())
       remaining.push_back(lease_duration);
     else if (auto found = compared_.find(voter.address); found != compared_.end())
--- a/source/replication/founding.cpp
+++ b/source/replication/founding.cpp
@@ -19,8 +19,8 @@
         respond(std::move(reply));
       });
   messenger.on_request<AskWord>([this](const Address&, AskWord request, ReplyCallback<WordReply> respond) {
-    const bool granted = first_start_ && !request.roster.seats.empty() && (!vote_.seats.empty() || !known());
-    if (granted && vote_.seats.empty()) vote_ = std::move(request.roster);
+    const bool granted = first_start_ && !request.roster.voters.empty() && (!vote_.voters.empty() || !known());
+    if (granted && vote_.voters.empty()) vote_ = std::move(request.roster);
     respond(WordReply{granted, vote_});
   });
 }
--- a/source/replication/reads.cpp
+++ b/source/replication/reads.cpp
@@ -70,9 +70,9 @@
   ownership.next_confirm_callbacks.clear();
   const Epoch epoch = ownership.epoch;
   auto acks = std::make_shared<std::size_t>(0);
-  auto outstanding = std::make_shared<std::size_t>(roster_.seats.size());
+  auto outstanding = std::make_shared<std::size_t>(roster_.voters.size());
   const std::size_t majority = roster_.majority();
-  for (const auto& voter : roster_.seats)
+  for (const auto& voter : roster_.voters)
     request_voter(voter, Confirm{{}, {}, slot, epoch, ownership.roster}, peer_timeout,
                   [this, slot, epoch, acks, outstanding, majority](Result<StoreReply> result) {
                     --*outstanding;
--- a/source/replication/repair.cpp
+++ b/source/replication/repair.cpp
@@ -9,7 +9,7 @@
 
 void ReplicatedStore::repair() {
   std::vector<Voter> others;
-  for (const auto& voter : roster_.seats)
+  for (const auto& voter : roster_.voters)
     if (voter.holder != identity_) others.push_back(voter);
   if (others.empty()) return;
   const Voter peer = others[random_.below(others.size())];
--- a/source/replication/replicated_store.cpp
+++ b/source/replication/replicated_store.cpp
@@ -104,7 +104,7 @@
       known_roster.version > roster_.version)
     adopt_roster(known_roster);
   const bool stalled = shared_state_.stalled.load();
-  if (roster_.seats.empty()) {
+  if (roster_.voters.empty()) {
     if (!stores_only_lots() && durable_) first_start_ ? bootstrap_from_candidates() : bootstrap_from_seeds();
   } else if (!stalled && now - started_ > milliseconds(1000) && roster_.seated(identity_)) {
     const auto members = shared_state_.members.get();
@@ -165,7 +165,7 @@
 void ReplicatedStore::publish_voters() {
   if (stores_only_lots()) return;
   std::vector<Address> voters;
-  for (const auto& voter : roster_.seats) voters.push_back(voter.address);
+  for (const auto& voter : roster_.voters) voters.push_back(voter.address);
   shared_state_.control_seats.set(std::move(voters));
 }
 
--- a/source/replication/retirement.cpp
+++ b/source/replication/retirement.cpp
@@ -18,14 +18,14 @@
   if (!request.holder.empty() || request.name.empty()) return request.holder;
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
     if (member.name == request.name && member.keeps == "lots") return address;
-  for (const auto& voter : roster.seats)
+  for (const auto& voter : roster.voters)
     if (voter.name == request.name) return voter.address;
   return {};
 }
 
 std::set<Address> ReplicatedStore::remaining_storage_nodes(const Roster& roster, const Address& without) const {
   std::set<Address> remaining;
-  for (const auto& voter : roster.seats) remaining.insert(voter.address);
+  for (const auto& voter : roster.voters) remaining.insert(voter.address);
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
     if (member.keeps == "lots") remaining.insert(address);
   const auto configuration = shared_state_.configuration.get();
@@ -47,7 +47,7 @@
     reply.known = true, reply.retired = found->second.spec.retired;
   // The name of a machine that has left after its retirement is no longer known.
   if (reply.holder.empty() && !request.begins) reply.retired = true;
-  for (const auto& voter : roster.seats)
+  for (const auto& voter : roster.voters)
     reply.seated =
         reply.seated || voter.address == reply.holder || (!request.name.empty() && voter.name == request.name);
   reply.known = reply.known || reply.seated || shared_state_.members.get()->all.contains(reply.holder);
@@ -97,10 +97,10 @@
   if (ReplicatedSlots& replicated = replicated_slots_[key]; replicated.roster != current.version)
     replicated = ReplicatedSlots{current.version, {}};
   auto replies = std::make_shared<std::vector<SyncStatusReply>>();
-  auto outstanding = std::make_shared<std::size_t>(current.seats.size());
-  for (const auto& voter : current.seats)
+  auto outstanding = std::make_shared<std::size_t>(current.voters.size());
+  for (const auto& voter : current.voters)
     messenger_.request(voter.address, SyncStatus{current.version}, peer_timeout,
-                       [this, replies, outstanding, key, version = current.version, voters = current.seats.size(),
+                       [this, replies, outstanding, key, version = current.version, voters = current.voters.size(),
                         then](Result<SyncStatusReply> result) {
                          if (auto* sync_status = std::get_if<SyncStatusReply>(&result);
                              sync_status != nullptr && sync_status->installed.size() == slot_count &&
--- a/source/replication/roster_bootstrap.cpp
+++ b/source/replication/roster_bootstrap.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 void ReplicatedStore::on_found_roster(FoundRoster found, ReplyCallback<IdentifyReply> respond) {
-  if (!stores_only_lots() && roster_.seats.empty() && found.roster.seated(identity_)) {
+  if (!stores_only_lots() && roster_.voters.empty() && found.roster.seated(identity_)) {
     roster_ = found.roster;
     publish_voters();
     return append_to_log(DiskEntry{.what = "roster", .roster = roster_}, [this, respond] {
@@ -45,20 +45,20 @@
           if (--*outstanding > 0) return;
           bootstrapping_ = false;
           for (const auto& reply : *replies)
-            if (!reply.roster.seats.empty()) {
-              if (roster_.seats.empty()) adopt_roster(reply.roster);
+            if (!reply.roster.voters.empty()) {
+              if (roster_.voters.empty()) adopt_roster(reply.roster);
               return;
             }
-          if (replies->size() != seeds_.size() || !roster_.seats.empty()) return;
+          if (replies->size() != seeds_.size() || !roster_.voters.empty()) return;
           Roster roster{Version{1}, {}};
           for (const auto& reply : *replies) {
             if (reply.holder.empty()) return;
-            roster.seats.push_back(Voter{reply.holder, reply.address, reply.zone});
+            roster.voters.push_back(Voter{reply.holder, reply.address, reply.zone});
           }
-          std::sort(roster.seats.begin(), roster.seats.end(),
+          std::sort(roster.voters.begin(), roster.voters.end(),
                     [](const Voter& first, const Voter& second) { return first.address < second.address; });
-          if (roster.seats.front().address != self_.address) return;
-          for (const auto& voter : roster.seats)
+          if (roster.voters.front().address != self_.address) return;
+          for (const auto& voter : roster.voters)
             messenger_.request(voter.address, FoundRoster{roster}, milliseconds(500), [](Result<IdentifyReply>) {});
         });
 }
@@ -89,14 +89,14 @@
           for (auto& reply : round->replies) {
             if (reply.known || !reply.first_start) return;
             for (auto& voter : reply.candidates) candidates[voter.holder] = voter;
-            if (!reply.vote.seats.empty()) vote = std::move(reply.vote);
+            if (!reply.vote.voters.empty()) vote = std::move(reply.vote);
           }
-          if (round->replies.size() != seeds_.size() || !roster_.seats.empty()) return;
+          if (round->replies.size() != seeds_.size() || !roster_.voters.empty()) return;
           if (candidates != candidates_) candidates_since_ = now;
           candidates_ = std::move(candidates);
           // The proposer may have died: if a seed has voted but no roster appears, any candidate completes the
           // proposal.
-          if (!vote.seats.empty()) {
+          if (!vote.voters.empty()) {
             if (now - candidates_since_ < abandoned_vote_wait) return;
             bootstrapping_ = true;
             return propose_roster(std::move(vote), 0);
@@ -105,10 +105,10 @@
               (candidates_.size() < min_voters && now - started_ < few_candidates_wait))
             return;
           Roster roster{Version{1}, {}};
-          for (const auto& [node, voter] : candidates_) roster.seats.push_back(voter);
-          std::sort(roster.seats.begin(), roster.seats.end(),
+          for (const auto& [node, voter] : candidates_) roster.voters.push_back(voter);
+          std::sort(roster.voters.begin(), roster.voters.end(),
                     [](const Voter& first, const Voter& second) { return first.address < second.address; });
-          if (roster.seats.front().holder != identity_) return;
+          if (roster.voters.front().holder != identity_) return;
           bootstrapping_ = true;
           propose_roster(std::move(roster), 0);
         });
@@ -117,9 +117,9 @@
 void ReplicatedStore::propose_roster(Roster roster, std::size_t seed) {
   if (seed == seeds_.size()) {
     bootstrapping_ = false;
-    report_.note("Created the first roster with " + std::to_string(roster.seats.size()) +
+    report_.note("Created the first roster with " + std::to_string(roster.voters.size()) +
                  " voters; all seeds have voted for it.");
-    for (const auto& voter : roster.seats)
+    for (const auto& voter : roster.voters)
       messenger_.request(voter.address, FoundRoster{roster}, milliseconds(500), [](Result<IdentifyReply>) {});
     return;
   }
@@ -128,7 +128,7 @@
   messenger_.request(order[seed], AskWord{roster}, milliseconds(500), [this, roster, seed](Result<WordReply> result) {
     auto* reply = std::get_if<WordReply>(&result);
     // Only the first seed chooses the roster. If another seed has voted for a different one, this attempt ends.
-    if (reply == nullptr || !reply->granted || (seed > 0 && reply->roster.seats != roster.seats)) {
+    if (reply == nullptr || !reply->granted || (seed > 0 && reply->roster.voters != roster.voters)) {
       bootstrapping_ = false;
       return;
     }
--- a/source/replication/roster_changes.cpp
+++ b/source/replication/roster_changes.cpp
@@ -30,7 +30,7 @@
 }
 
 bool has_joining_voters(const Roster& roster) {
-  return std::any_of(roster.seats.begin(), roster.seats.end(), [](const Voter& voter) { return voter.joining; });
+  return std::any_of(roster.voters.begin(), roster.voters.end(), [](const Voter& voter) { return voter.joining; });
 }
 }  // namespace
 
@@ -81,9 +81,9 @@
       now - lot_nodes_seen_since_ < (lot_nodes_seen < min_voters ? seconds(6) : lot_roster_bootstrap_delay))
     return;
   Roster first;
-  while (auto next = next_roster(key, first, "lots")) first.seats = std::move(next->seats);
+  while (auto next = next_roster(key, first, "lots")) first.voters = std::move(next->voters);
   first.version = Version{1};
-  if (!first.seats.empty()) change_roster(key, std::move(first));
+  if (!first.voters.empty()) change_roster(key, std::move(first));
 }
 
 // Whether a voter is to be replaced. `newest` is when the newest storage node of the group was first seen.
@@ -123,7 +123,7 @@
                                                           TimePoint* newest) const {
   const TimePoint now = messenger_.timers().now();
   std::map<ZoneId, std::size_t> voters_in_zone;
-  for (const auto& voter : current.seats) ++voters_in_zone[voter.zone];
+  for (const auto& voter : current.voters) ++voters_in_zone[voter.zone];
   std::vector<const Member*> list;
   for (const auto& [address, member] : members.all) {
     if (member.holder.empty() || member.keeps != keeps) continue;
@@ -150,7 +150,7 @@
   const std::vector<const Member*> standbys = find_standbys(*members, current, keeps, observations, &newest);
   const Voter* worst_voter = nullptr;
   VoterState worst_state = VoterState::available;
-  for (const auto& voter : current.seats)
+  for (const auto& voter : current.voters)
     if (const VoterState state = voter_state(voter, observations, newest); state > worst_state) {
       worst_voter = &voter;
       worst_state = state;
@@ -158,21 +158,21 @@
   Roster next = current;
   next.version = current.version.next();
   const std::size_t wanted = voters_wanted(keeps);
-  const bool short_of_voters = worst_voter != nullptr || (current.seats.size() < wanted && !standbys.empty());
+  const bool short_of_voters = worst_voter != nullptr || (current.voters.size() < wanted && !standbys.empty());
   update_voter_shortage(key, current, short_of_voters);
   if (worst_state == VoterState::unreachable) return std::nullopt;
-  const std::size_t remaining = current.seats.size() - (worst_voter != nullptr);
+  const std::size_t remaining = current.voters.size() - (worst_voter != nullptr);
   const bool bootstrapping = current.version == Version{};
   const bool is_lost = worst_state > VoterState::unreachable;
   const bool may_drop =
       worst_voter != nullptr && (remaining >= min_voters || (is_lost && !standbys.empty() && remaining >= 2));
   if (may_drop && (is_lost || remaining >= wanted || standbys.empty()))
-    std::erase_if(next.seats, [&](const Voter& voter) { return voter.holder == worst_voter->holder; });
+    std::erase_if(next.voters, [&](const Voter& voter) { return voter.holder == worst_voter->holder; });
   else if (!standbys.empty() && remaining < wanted)
-    next.seats.push_back(
+    next.voters.push_back(
         Voter{standbys[0]->holder, standbys[0]->address, standbys[0]->zone, standbys[0]->name, !bootstrapping});
   else if (has_joining_voters(current) && fully_replicated(key, current))
-    for (auto& voter : next.seats) voter.joining = false;
+    for (auto& voter : next.voters) voter.joining = false;
   else
     return std::nullopt;
   return next;
@@ -202,7 +202,7 @@
   }
   counts_.short_of_seats.erase(key);
   if (!observations.short_of_voters_since) return;
-  report_.note("Roster " + key + " is complete again: " + std::to_string(current.seats.size()) + " voters, " +
+  report_.note("Roster " + key + " is complete again: " + std::to_string(current.voters.size()) + " voters, " +
                std::to_string((now - *observations.short_of_voters_since).count() / 1000) +
                " ms after it became short of voters.");
   observations.short_of_voters_since.reset();
@@ -219,7 +219,7 @@
   auto count = std::make_shared<Count>();
   // An unreachable voter owns no slots; waiting for its reply would only delay the next attempt.
   const auto members = shared_state_.members.get();
-  std::vector<Voter> voters = current.seats;
+  std::vector<Voter> voters = current.voters;
   std::erase_if(voters, [&](const Voter& voter) { return members->holder(voter.holder) == nullptr; });
   count->outstanding = voters.size();
   if (voters.empty()) changing_.erase(key);
@@ -245,7 +245,7 @@
   const TimePoint now = messenger_.timers().now();
   TimePoint& last_change = observations_[key].last_change;
   report_.note("Changing roster " + key + " to version " + std::to_string(next.version.value) + " with " +
-               std::to_string(next.seats.size()) + " voters" +
+               std::to_string(next.voters.size()) + " voters" +
                (last_change == TimePoint{}
                     ? std::string(".")
                     : ", " + std::to_string((now - last_change).count() / 1000) + " ms after the previous change."));
@@ -258,7 +258,7 @@
   write(std::move(request), [this, key, next](Result<WriteReply> result) {
     changing_.erase(key);
     if (error_of(result) == nullptr && key == lot_roster_key)
-      for (const auto& voter : next.seats) messenger_.send(voter.address, RosterUpdate{next, "lots"});
+      for (const auto& voter : next.voters) messenger_.send(voter.address, RosterUpdate{next, "lots"});
   });
 }
 
--- a/source/replication/store_file.cpp
+++ b/source/replication/store_file.cpp
@@ -80,7 +80,7 @@
   RecordLog::Contents contents;
   contents.header = [this] {
     std::vector<DiskEntry> entries{DiskEntry{.what = "identity", .holder = identity_, .address = self_.address}};
-    if (!roster_.seats.empty()) entries.push_back(DiskEntry{.what = "roster", .roster = roster_});
+    if (!roster_.voters.empty()) entries.push_back(DiskEntry{.what = "roster", .roster = roster_});
     return entries;
   };
   contents.slot_entries = [this](std::uint32_t slot) {
--- a/source/replication/takeover.cpp
+++ b/source/replication/takeover.cpp
@@ -23,12 +23,12 @@
     bool enough = false, own_granted = false;
   };
   auto round = std::make_shared<Round>();
-  round->outstanding = roster_.seats.size();
+  round->outstanding = roster_.voters.size();
   const std::size_t majority = roster_.majority();
   Promise promise{{}, {}, slot, epoch, roster_, {}};
   for (const auto& [key, record] : slot_replicas_[slot].records)
     promise.have.push_back(RecordStamp{key, record.stamp, record.written});
-  for (const auto& voter : roster_.seats)
+  for (const auto& voter : roster_.voters)
     request_voter(voter, promise, peer_timeout,
                   [this, voter, slot, epoch, round, majority](Result<PromiseReply> result) {
                     --round->outstanding;
@@ -141,9 +141,10 @@
   // Records that this node has itself are sent from its own replica.
   std::erase_if(takeover->newer_records, [&](const auto& each) { return newest[each.first].second != &each.second; });
   slot_ownership_[slot].installed_voters.clear();
-  takeover->outstanding = roster_.seats.size();
+  takeover->outstanding = roster_.voters.size();
   const Version roster = roster_.version;
-  for (const auto& voter : std::vector<Voter>(roster_.seats)) install_at_voter(voter, slot, epoch, roster, takeover, 3);
+  for (const auto& voter : std::vector<Voter>(roster_.voters))
+    install_at_voter(voter, slot, epoch, roster, takeover, 3);
 }
 
 void ReplicatedStore::install_at_voter(const Voter& voter, std::uint32_t slot, Epoch epoch, Version roster,
@@ -190,7 +191,7 @@
 // Installs the owned slots at voters that missed the takeover, once they are reachable again.
 void ReplicatedStore::install_at_lagging_voters() {
   const auto members = shared_state_.members.get();
-  for (const auto& voter : roster_.seats) {
+  for (const auto& voter : roster_.voters) {
     const Member* member = members->holder(voter.holder);
     if (member == nullptr || member->stalled) continue;
     for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
--- a/source/replication/writes.cpp
+++ b/source/replication/writes.cpp
@@ -127,8 +127,8 @@
   auto acks = std::make_shared<Acknowledgements>();
   acks->old_roster = roster_;
   acks->new_roster = new_roster;
-  std::vector<Voter> voters = roster_.seats;
-  for (const auto& voter : new_roster.seats)
+  std::vector<Voter> voters = roster_.voters;
+  for (const auto& voter : new_roster.voters)
     if (!roster_.seated(voter.holder)) voters.push_back(voter);
   acks->outstanding = voters.size();
   const Epoch epoch = slot_ownership_[slot].epoch;
@@ -140,7 +140,7 @@
       acks->new_acks += acks->new_roster.seated(voter.holder);
     }
     const bool enough = acks->old_acks >= acks->old_roster.majority() &&
-                        (acks->new_roster.seats.empty() || acks->new_acks >= acks->new_roster.majority());
+                        (acks->new_roster.voters.empty() || acks->new_acks >= acks->new_roster.majority());
     if (!enough && acks->outstanding > 0) return;
     acks->finished = true;
     done(enough);
--- a/source/sessions/sessions.cpp
+++ b/source/sessions/sessions.cpp
@@ -59,14 +59,14 @@
   if (!is_control_daemon()) return false;
   if (shared_state_.has_lease(messenger_.timers().now())) return true;
   const bool knows_roster =
-      !shared_state_.configuration.get()->roster.seats.empty() || !shared_state_.control_seats.get()->empty();
+      !shared_state_.configuration.get()->roster.voters.empty() || !shared_state_.control_seats.get()->empty();
   return !knows_roster && member.roster == Version{};
 }
 
 // Whether this control daemon has been without contact to a majority for so long that it must not own any slots. Other
 // daemons may still receive its messages, and would otherwise wait for it as the owner of its slots.
 bool Sessions::lost_majority_contact() const {
-  if (!is_control_daemon() || shared_state_.configuration.get()->roster.seats.empty()) return false;
+  if (!is_control_daemon() || shared_state_.configuration.get()->roster.voters.empty()) return false;
   const TimePoint lease_end{shared_state_.lease_until.load()};
   return messenger_.timers().now() - lease_end > contact_loss_grace;
 }
--- a/source/sessions/shared_state.cpp
+++ b/source/sessions/shared_state.cpp
@@ -33,7 +33,7 @@
     if (member.keeps_control() && member.zone == zone) add(address);
   for (const auto& [address, member] : members->all)
     if (member.keeps_control()) add(address);
-  for (const auto snapshot = shared_state.configuration.get(); const auto& voter : snapshot->roster.seats)
+  for (const auto snapshot = shared_state.configuration.get(); const auto& voter : snapshot->roster.voters)
     add(voter.address);
   for (const auto snapshot = shared_state.control_seats.get(); const auto& address : *snapshot) add(address);
   return list;
@@ -49,7 +49,7 @@
 
 std::vector<const Voter*> slot_order(const Roster& roster, std::uint32_t slot) {
   std::vector<const Voter*> order;
-  for (const auto& voter : roster.seats) order.push_back(&voter);
+  for (const auto& voter : roster.voters) order.push_back(&voter);
   std::sort(order.begin(), order.end(), [&](const Voter* left, const Voter* right) {
     if (left->joining != right->joining) return right->joining;
     return hash_of(left->holder.text, slot + 1) > hash_of(right->holder.text, slot + 1);
--- a/source/simulate/loss_scenarios.cpp
+++ b/source/simulate/loss_scenarios.cpp
@@ -235,10 +235,10 @@
     stores[node->kept()->identity()] = node->kept();
     if (roster == nullptr || roster->version < node->kept()->roster().version) roster = &node->kept()->roster();
   }
-  if (roster == nullptr || roster->seats.size() < voters_needed(run)) return false;
+  if (roster == nullptr || roster->voters.size() < voters_needed(run)) return false;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
     Epoch owned, lowest_installed{UINT64_MAX};
-    for (const auto& seat : roster->seats) {
+    for (const auto& seat : roster->voters) {
       auto found = stores.find(seat.holder);
       if (found == stores.end()) return false;
       const ReplicatedStore::SlotView view = found->second->slot_view(slot);
--- a/source/simulate/scenarios.cpp
+++ b/source/simulate/scenarios.cpp
@@ -437,11 +437,11 @@
         });
         cluster.world.after(seconds(34), [&cluster, keeps] {
           const auto configuration = cluster.any_alive().shared_state().configuration.get();
-          const auto& seats = (*keeps == "lots" ? configuration->lot_roster : configuration->roster).seats;
-          if (seats.size() != (keeps->empty() ? 5 : 4))
-            cluster.broken.push_back("the roster has " + std::to_string(seats.size()) +
+          const auto& voters = (*keeps == "lots" ? configuration->lot_roster : configuration->roster).voters;
+          if (voters.size() != (keeps->empty() ? 5 : 4))
+            cluster.broken.push_back("the roster has " + std::to_string(voters.size()) +
                                      " seats after a replacement and a retirement");
-          for (const auto& seat : seats)
+          for (const auto& seat : voters)
             if (Machine* machine = cluster.machine_at(seat.address);
                 machine == nullptr || !machine->alive() ||
                 cluster.any_alive().shared_state().configuration.get()->holders.contains(seat.address.text))
@@ -485,7 +485,7 @@
         cluster.operator_change("holder/" + machine.address.text, R"({"retired":true})");
         cluster.world.after(seconds(14), [&cluster, &machine] {
           const auto configuration = cluster.any_alive().shared_state().configuration.get();
-          for (const auto& seat : (machine.serves() ? configuration->roster : configuration->lot_roster).seats)
+          for (const auto& seat : (machine.serves() ? configuration->roster : configuration->lot_roster).voters)
             if (seat.address == machine.address)
               cluster.broken.push_back("a retired holder still has its seat after 14 s");
           machine.kill(true);
--- a/tests/coding_test.cpp
+++ b/tests/coding_test.cpp
@@ -148,10 +148,10 @@
 TEST_CASE("a storage node is not retired if fewer than three voters would remain") {
   ConfigurationView view;
   for (const char* address : {"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-    view.roster.seats.push_back(Voter{StorageNodeId(address), Address(address), ZoneId("h")});
+    view.roster.voters.push_back(Voter{StorageNodeId(address), Address(address), ZoneId("h")});
   CHECK(error_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view))->kind == ErrorKind::conflict);
   CHECK(error_of(check_document("holder", "10.0.0.9:1", R"({"retired":true})", view)) == nullptr);
-  view.roster.seats.push_back(Voter{StorageNodeId("x"), Address("10.0.0.4:1"), ZoneId("h")});
+  view.roster.voters.push_back(Voter{StorageNodeId("x"), Address("10.0.0.4:1"), ZoneId("h")});
   CHECK(error_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view)) == nullptr);
   const Bytes retired = R"({"retired":true})";
   REQUIRE(put_in_view(view, "holder/10.0.0.4:1", &retired, Stamp{}));
@@ -162,10 +162,10 @@
   Roster roster{Version{3}, {}};
   Members members;
   for (const char* name : {"a", "b", "c"}) {
-    roster.seats.push_back(Voter{StorageNodeId(name), Address(name), ZoneId("h")});
+    roster.voters.push_back(Voter{StorageNodeId(name), Address(name), ZoneId("h")});
     members.all[Address(name)].holder = StorageNodeId(name);
   }
-  roster.seats[1].joining = true;
+  roster.voters[1].joining = true;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
     CHECK(slot_order(roster, slot).back()->holder == StorageNodeId("b"));
     CHECK(slot_owner(roster, members, slot)->holder != StorageNodeId("b"));
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -44,7 +44,7 @@
   for (auto& machine : cluster.machines)
     if (machine->alive())
       if (const Roster& roster = machine->shared_state().configuration.get()->roster; roster.version == Version{1})
-        rosters.insert(roster.seats);
+        rosters.insert(roster.voters);
   return rosters;
 }
 }  // namespace
@@ -57,10 +57,10 @@
   CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).candidates.size() == 2);
   CHECK(seed.deliver("10.0.0.3:1", ReportCandidate{voter("d", "10.0.0.4:1")}).candidates.size() == 2);
   const Roster first{Version{1}, {voter("a", "10.0.0.1:1")}}, second{Version{1}, {voter("b", "10.0.0.2:1")}};
-  CHECK(seed.deliver("10.0.0.1:1", AskWord{first}).roster.seats == first.seats);
+  CHECK(seed.deliver("10.0.0.1:1", AskWord{first}).roster.voters == first.voters);
   const WordReply other = seed.deliver("10.0.0.2:1", AskWord{second});
-  CHECK((other.granted && other.roster.seats == first.seats));
-  CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).vote.seats == first.seats);
+  CHECK((other.granted && other.roster.voters == first.voters));
+  CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).vote.voters == first.voters);
   Seed later(false);
   CHECK_FALSE(later.deliver("10.0.0.1:1", AskWord{first}).granted);
   CHECK_FALSE(later.deliver("10.0.0.1:1", ReportCandidate{voter("a", "10.0.0.1:1")}).first_start);
@@ -84,8 +84,8 @@
     CHECK(first_rosters(cluster).size() == 1);
     world.run_until(TimePoint{} + seconds(7));
     const auto configuration = cluster.any_alive().shared_state().configuration.get();
-    CHECK(configuration->roster.seats.size() == 4);
-    CHECK(configuration->lot_roster.seats.size() == 4);
+    CHECK(configuration->roster.voters.size() == 4);
+    CHECK(configuration->lot_roster.voters.size() == 4);
     int accepted = 0;
     for (int lot = 0; lot < 20; ++lot)
       cluster.control(
@@ -143,7 +143,7 @@
   for (auto& machine : cluster.machines) machine->start();
   world.run_until(TimePoint{} + seconds(10));
   CHECK_FALSE(cluster.ready());
-  for (auto& machine : cluster.machines) CHECK(machine->shared_state().configuration.get()->roster.seats.empty());
+  for (auto& machine : cluster.machines) CHECK(machine->shared_state().configuration.get()->roster.voters.empty());
 }
 
 TEST_CASE("a wiped storage node becomes a voter again and its old identity is removed within 3.5 seconds") {
--- a/tests/lot_starts_test.cpp
+++ b/tests/lot_starts_test.cpp
@@ -22,7 +22,7 @@
   }
   // The demand that the owner publishes to the component that sizes the kind's circle.
   LotDemand published_demand() {
-    if (view.roster.seats.empty())
+    if (view.roster.voters.empty())
       put("roster", R"({"version":1,"seats":[{"holder":"10.0.0.1:1","address":"10.0.0.1:1","zone":"h"}]})");
     sent.clear();
     wait(seconds(2));
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -32,7 +32,7 @@
   Roster roster{Version{1}, {}};
   for (const auto& machine : machines)
     if (std::find(names.begin(), names.end(), machine.name) != names.end())
-      roster.seats.push_back(
+      roster.voters.push_back(
           Voter{StorageNodeId("holder-" + machine.name), address_of(machine.name), ZoneId(machine.zone), machine.name});
   return roster;
 }
@@ -133,7 +133,7 @@
   std::vector<MachineSetup> setups;
   for (const auto& each : machines_) setups.push_back(each->setup);
   const Roster roster = first_roster(setups, names);
-  for (const auto& seat : roster.seats) {
+  for (const auto& seat : roster.voters) {
     Bytes image = frame_entry(DiskEntry{.what = "identity", .holder = seat.holder, .address = seat.address}, 0);
     image += frame_entry(DiskEntry{.what = "roster", .roster = roster}, 0);
     at(seat.address)->disk.set_content(std::move(image));
--- a/tests/model/invariants.cpp
+++ b/tests/model/invariants.cpp
@@ -25,8 +25,8 @@
 // Returns whether every majority of one roster has a voter in common with every majority of the other.
 bool majorities_overlap(const Roster& first, const Roster& second) {
   std::set<StorageNodeId> all;
-  for (const auto& seat : first.seats) all.insert(seat.holder);
-  for (const auto& seat : second.seats) all.insert(seat.holder);
+  for (const auto& seat : first.voters) all.insert(seat.holder);
+  for (const auto& seat : second.voters) all.insert(seat.holder);
   return first.majority() + second.majority() > all.size();
 }
 }  // namespace
@@ -115,7 +115,7 @@
   auto roster = rosters_.find(version->second);
   if (roster == rosters_.end()) return;
   std::size_t copies = 0;
-  for (const auto& seat : roster->second.seats) {
+  for (const auto& seat : roster->second.voters) {
     const Machine* replica = cluster_->at(seat.address);
     const DecodedFile& file = replica->disk.synced();
     auto found = file.slots[slot].stamps.find(write.key);
@@ -127,14 +127,14 @@
   if (copies + wipes_ < roster->second.majority())
     fail("acknowledged-before-majority", owner.setup.name + " acknowledged " + write.key + " at " +
                                              text_of(reply.stamp) + " with " + std::to_string(copies) + " of " +
-                                             std::to_string(roster->second.seats.size()) + " disks having it");
+                                             std::to_string(roster->second.voters.size()) + " disks having it");
 }
 
 // There is one roster for each version, and every two majorities of rosters with consecutive versions overlap.
 void Invariants::check_roster(const Roster& roster, const Machine& machine) {
-  if (roster.seats.empty()) return;
+  if (roster.voters.empty()) return;
   const auto [entry, inserted] = rosters_.try_emplace(roster.version, roster);
-  if (!inserted && entry->second.seats != roster.seats)
+  if (!inserted && entry->second.voters != roster.voters)
     return fail("two-rosters", machine.setup.name + " has a different roster of version " +
                                    std::to_string(roster.version.value) + " than an earlier one");
   if (!inserted) return;
@@ -210,7 +210,7 @@
   auto of_key = gossip_stamps_.find(key);
   if (of_key == gossip_stamps_.end()) return {};
   std::vector<Stamp> stamps;
-  for (const auto& seat : roster.seats) {
+  for (const auto& seat : roster.voters) {
     Stamp stamp;
     if (auto times = of_key->second.find(cluster_->at(seat.address)->setup.name); times != of_key->second.end())
       for (const auto& [since, value] : times->second)
--- a/tests/model/planted_faults.cpp
+++ b/tests/model/planted_faults.cpp
@@ -74,7 +74,7 @@
                                          const Envelope& envelope) {
   const Roster& roster = sender.roster;
   if (fault != PlantedFault::old_roster_majority || envelope.reply || roster.version.value < 2 ||
-      roster.seats.empty() || roster.seats.back().address != to || envelope.from == to)
+      roster.voters.empty() || roster.voters.back().address != to || envelope.from == to)
     return std::nullopt;
   if (envelope.kind == Promise::kind) {
     auto message = from_cbor<Promise>(envelope.body);
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -414,9 +414,9 @@
   // The owner of the roster's key reports this. The other daemons learn it a moment later by gossip.
   world.run_until(world.now() + milliseconds(600));
   const Roster roster = cluster.any_alive().shared_state().configuration.get()->lot_roster;
-  CHECK(roster.seats.size() == 3);
-  for (const auto& voter : roster.seats) CHECK(voter.address != leaving.address);
-  for (const auto& voter : roster.seats) CHECK(voter.name == cluster.machine_at(voter.address)->name);
+  CHECK(roster.voters.size() == 3);
+  for (const auto& voter : roster.voters) CHECK(voter.address != leaving.address);
+  for (const auto& voter : roster.voters) CHECK(voter.name == cluster.machine_at(voter.address)->name);
   // The retired machine is lost with its disk, and another machine loses its disk at the same time.
   leaving.kill(true);
   cluster.machines[11]->kill(true);
@@ -435,7 +435,7 @@
                   "/v1/resources/holder/" + cluster.machines[9]->address.text + "?version=0", R"({"retired":true})",
                   [&](int status, const std::string&) { refused = status; });
   world.run_until(world.now() + seconds(2));
-  CHECK((refused == 409 || cluster.any_alive().shared_state().configuration.get()->lot_roster.seats.size() > 3));
+  CHECK((refused == 409 || cluster.any_alive().shared_state().configuration.get()->lot_roster.voters.size() > 3));
 }
 
 TEST_CASE("the slots of a lost owner are taken over within 1.5 seconds, in both groups") {
