--- a/source/circle/circle.cpp
+++ b/source/circle/circle.cpp
@@ -42,14 +42,14 @@
   return slots == 0 ? 0 : prompts / slots;
 }
 
-bool CircleDuty::State::failed_recently(const std::string& runner, Duration ramp, TimePoint now) const {
+bool CircleManager::State::failed_recently(const std::string& runner, Duration ramp, TimePoint now) const {
   const auto found = failed.find(runner);
   return found != failed.end() && now - found->second < ramp;
 }
 
 // A daemon that rarely sends requests to a runner learns late that the runner has recovered. Its report of a failure
 // that precedes the runner's first response to another daemon therefore starts no new ramp.
-bool CircleDuty::State::record_failure(const std::string& runner, const ObservedLoad& observed, TimePoint now) {
+bool CircleManager::State::record_failure(const std::string& runner, const ObservedLoad& observed, TimePoint now) {
   if (!observed.failed) return false;
   const TimePoint failure = now + -observed.failure.value_or(Duration{}), at = now + -*observed.failed;
   if (auto known = returned.find(runner); known != returned.end() && failure <= known->second) return false;
@@ -61,7 +61,7 @@
   return is_new;
 }
 
-CircleDuty::CircleDuty(Messenger& messenger, SharedState& shared_state)
+CircleManager::CircleManager(Messenger& messenger, SharedState& shared_state)
     : messenger_(messenger), shared_state_(shared_state) {
   messenger_.on_message<LoadReport>([this](const Address& from, LoadReport load) {
     auto found = states_.find(load.runner_kind);
@@ -83,16 +83,16 @@
   });
 }
 
-void CircleDuty::start() {
+void CircleManager::start() {
   tick();
 }
 
-void CircleDuty::tick() {
+void CircleManager::tick() {
   update_circles();
   messenger_.timers().after(tick_interval, [this] { tick(); });
 }
 
-void CircleDuty::update_circles() {
+void CircleManager::update_circles() {
   const auto owned = shared_state_.owned.get();
   const auto configuration = shared_state_.configuration.get();
   for (const auto& [kind, entry] : configuration->kinds) {
@@ -112,7 +112,7 @@
   std::erase_if(states_, [&](const auto& entry) { return !configuration->kinds.contains(entry.first); });
 }
 
-bool CircleDuty::is_unreachable(const State& state, const std::string& runner, TimePoint now) const {
+bool CircleManager::is_unreachable(const State& state, const std::string& runner, TimePoint now) const {
   std::size_t tried = 0, unhealthy = 0;
   for (const auto& [address, report] : state.reports) {
     if (now - report.received > report_max_age) continue;
@@ -126,7 +126,7 @@
 
 // The connection limits of all daemons must add up to at most what the runner accepts. Logs and counts each violation
 // once, until the runner is back within its limit.
-void CircleDuty::check_connection_limit(const std::string& kind, std::uint32_t limit, State& state, TimePoint now) {
+void CircleManager::check_connection_limit(const std::string& kind, std::uint32_t limit, State& state, TimePoint now) {
   if (limit == 0) return;
   std::map<std::string, std::uint32_t> connections;
   for (const auto& [from, report] : state.reports)
@@ -138,14 +138,14 @@
     runners_over_limit.insert(name);
     if (state.over_limit.contains(name)) continue;
     ++counts_.connections_over_limit;
-    note("Invariant violated: runner '" + name + "' of kind '" + kind + "' accepts " + std::to_string(limit) +
-         " connections, but the daemons report " + std::to_string(count) + ".");
+    log("Invariant violated: runner '" + name + "' of kind '" + kind + "' accepts " + std::to_string(limit) +
+        " connections, but the daemons report " + std::to_string(count) + ".");
   }
   state.over_limit = std::move(runners_over_limit);
 }
 
-std::set<std::string> CircleDuty::available_runners(const ConfigurationView& configuration, const std::string& kind,
-                                                    State& state, TimePoint now) const {
+std::set<std::string> CircleManager::available_runners(const ConfigurationView& configuration, const std::string& kind,
+                                                       State& state, TimePoint now) const {
   std::set<std::string> available;
   for (const auto& [name, runner] : configuration.runners) {
     if (runner.spec.kind.text != kind || runner.spec.leaving || configuration.evacuated(runner.spec.zone)) continue;
@@ -159,8 +159,8 @@
   return available;
 }
 
-CircleDuty::LoadSummary CircleDuty::summarize_reports(const Members& members, const Circle& before, State& state,
-                                                      TimePoint now) {
+CircleManager::LoadSummary CircleManager::summarize_reports(const Members& members, const Circle& before, State& state,
+                                                            TimePoint now) {
   LoadSummary summary;
   for (auto entry = state.reports.begin(); entry != state.reports.end();) {
     auto member = members.all.find(entry->first.first);
@@ -195,8 +195,8 @@
 }
 
 // Sends the totals to all daemons, no more often than the load reports that they are computed from.
-void CircleDuty::send_totals(const std::string& kind, const Members& members, const LoadSummary& summary, State& state,
-                             TimePoint now) {
+void CircleManager::send_totals(const std::string& kind, const Members& members, const LoadSummary& summary,
+                                State& state, TimePoint now) {
   if (now - state.totals_sent < totals_interval) return;
   state.totals_sent = now;
   const LoadTotals totals{kind, summary.totals};
@@ -204,8 +204,9 @@
     member.routes() ? messenger_.send(address, totals) : messenger_.send(address, PlacerTotals{totals});
 }
 
-CircleDuty::SizeBounds CircleDuty::size_bounds(const Table<Runner>& runners, const std::set<std::string>& available,
-                                               const CircleSettings& circle, const LoadSummary& summary) {
+CircleManager::SizeBounds CircleManager::size_bounds(const Table<Runner>& runners,
+                                                     const std::set<std::string>& available,
+                                                     const CircleSettings& circle, const LoadSummary& summary) {
   double mean_slots = 0;
   for (const auto& name : available) mean_slots += runners.at(name).spec.slots / static_cast<double>(available.size());
   // If there are few runners, the configured floor may claim only half of them; the rest is left to waiting lots.
@@ -227,7 +228,7 @@
                             available_count - std::min(lot_runners, available_count)})};
 }
 
-void CircleDuty::State::add_sample(double load) {
+void CircleManager::State::add_sample(double load) {
   samples.push_back(load);
   nonzero_samples += load > 0;
   const std::size_t recent = std::min(samples.size(), recent_sample_count);
@@ -239,8 +240,8 @@
   if (samples.size() > max_samples) samples.erase(samples.begin(), samples.begin() + max_samples / 2);
 }
 
-std::size_t CircleDuty::next_size(const CircleSettings& circle, const SizeBounds& limits, const LoadSummary& summary,
-                                  std::size_t routing, std::size_t size, State& state, TimePoint now, Circle& next) {
+std::size_t CircleManager::next_size(const CircleSettings& circle, const SizeBounds& limits, const LoadSummary& summary,
+                                     std::size_t routing, std::size_t size, State& state, TimePoint now, Circle& next) {
   const std::size_t missing_reports = routing > summary.daemons_reporting ? routing - summary.daemons_reporting : 0;
   // The absence of load in one cycle does not show that few runners are needed; only a longer idle time does.
   const Duration idle_time = summary.has_waiting_lots() ? idle_time_beside_lots : idle_time_before_shrink;
@@ -265,7 +266,7 @@
 
 // Names the most important change between two decisions; empty if nothing changed. The text is stored as the circle's
 // reason.
-std::string CircleDuty::reason_for_change(const Circle& before, const Circle& next) {
+std::string CircleManager::reason_for_change(const Circle& before, const Circle& next) {
   if (next.reason == "all" && next.members != before.members) return next.reason;
   if (!next.reason.empty() && next.reason != "all") return next.reason;
   if (next.members != before.members) return "replaced";
@@ -276,7 +277,7 @@
   return {};
 }
 
-void CircleDuty::update_circle(const std::string& kind, const Kind& settings, State& state) {
+void CircleManager::update_circle(const std::string& kind, const Kind& settings, State& state) {
   const TimePoint now = messenger_.timers().now();
   const auto configuration = shared_state_.configuration.get();
   const auto members = shared_state_.members.get();
@@ -317,7 +318,7 @@
     size = available.size();
     next.reason = "all";
   } else {
-    size = next_size(circle, limits, summary, members->routing(), size, state, now, next);
+    size = next_size(circle, limits, summary, members->routing_count(), size, state, now, next);
   }
   if (!circle.all && !state.writing) state.extra_members = extra_members_for(before.members, state, circle.ramp, now);
   size = std::clamp(size + state.extra_members, limits.lowest, std::max(limits.lowest, available.size()));
@@ -337,15 +338,15 @@
                          next.placers == before.placers && next.daemons == before.daemons;
   if (unchanged && next.reason == "cycle" && now - state.written < unchanged_write_interval) return;
   state.written = now;
-  note("Kind '" + kind + "', " + next.reason + ": " + std::to_string(next.members.size()) + " members, " +
-       std::to_string(next.warm.size()) + " of them past their ramp, of " + std::to_string(available.size()) +
-       " available runners; " + std::to_string(next.dark.size()) + " unreachable, load " + std::to_string(load) + ", " +
-       std::to_string(summary.live_prompts) + " live prompts, " + std::to_string(summary.queued_prompts) +
-       " queued prompts; items of lots need " + std::to_string(summary.lots.at_once) + " slots.");
+  log("Kind '" + kind + "', " + next.reason + ": " + std::to_string(next.members.size()) + " members, " +
+      std::to_string(next.warm.size()) + " of them past their ramp, of " + std::to_string(available.size()) +
+      " available runners; " + std::to_string(next.dark.size()) + " unreachable, load " + std::to_string(load) + ", " +
+      std::to_string(summary.live_prompts) + " live prompts, " + std::to_string(summary.queued_prompts) +
+      " queued prompts; items of lots need " + std::to_string(summary.lots.at_once) + " slots.");
   write(kind, state, std::move(next));
 }
 
-void CircleDuty::write(const std::string& kind, State& state, Circle circle) {
+void CircleManager::write(const std::string& kind, State& state, Circle circle) {
   state.writing = true;
   Write write;
   write.key = "circle/" + kind;
--- a/source/circle/circle.hpp
+++ b/source/circle/circle.hpp
@@ -34,7 +34,7 @@
   bool items = false;                           // Whether the report covers items of lots instead of live prompts.
   MOTHWALK_FIELDS(runner_kind, incarnation, runners, queued, items)
 };
-// Sent by CircleDuty to all daemons that route requests: what all daemons together have open on each runner.
+// Sent by CircleManager to all daemons that route requests: what all daemons together have open on each runner.
 struct LoadTotals {
   static constexpr StringView kind = "routes.totals";
   std::string runner_kind;
@@ -55,13 +55,13 @@
 };
 
 // Collects load reports, and writes a new circle to the replicated store whenever its members or their state change.
-class CircleDuty {
+class CircleManager {
  public:
-  CircleDuty(Messenger& messenger, SharedState& shared_state);
+  CircleManager(Messenger& messenger, SharedState& shared_state);
   void start();
   const CircleCounts& counts() const { return counts_; }
   // Receives a log sentence for each decision that is written and for each violated invariant.
-  std::function<void(StringView sentence)> note = [](StringView) {
+  std::function<void(StringView message)> log = [](StringView) {
   };
 
  private:
--- a/source/circle/internals.hpp
+++ b/source/circle/internals.hpp
@@ -1,4 +1,4 @@
-// Helpers shared by the source files of CircleDuty.
+// Helpers shared by the source files of CircleManager.
 #pragma once
 #include "circle/circle.hpp"
 
--- a/source/circle/membership.cpp
+++ b/source/circle/membership.cpp
@@ -10,10 +10,10 @@
 constexpr Duration fewer_daemons_delay = std::chrono::seconds(60);
 }  // namespace
 
-std::vector<RunnerId> CircleDuty::choose_members(const ConfigurationView& configuration,
-                                                 const std::set<std::string>& available, std::size_t size,
-                                                 const Circle& before,
-                                                 const std::map<std::string, double>& live_by_zone) {
+std::vector<RunnerId> CircleManager::choose_members(const ConfigurationView& configuration,
+                                                    const std::set<std::string>& available, std::size_t size,
+                                                    const Circle& before,
+                                                    const std::map<std::string, double>& live_by_zone) {
   std::vector<std::string> members;
   for (const auto& member : before.members)
     if (available.contains(member.text)) members.push_back(member.text);
@@ -83,8 +83,8 @@
 
 // If at least half of the members failed recently, they take only the reduced share of their ramp, so the same number
 // of extra members is added. The PI controller would react too late, and it counts the slots of such members in full.
-std::size_t CircleDuty::extra_members_for(const std::vector<RunnerId>& members, const State& state, Duration ramp,
-                                          TimePoint now) {
+std::size_t CircleManager::extra_members_for(const std::vector<RunnerId>& members, const State& state, Duration ramp,
+                                             TimePoint now) {
   const auto failed_count =
       static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [&](const RunnerId& member) {
         return state.failed_recently(member.text, ramp, now);
@@ -96,8 +96,8 @@
 // A ramp begins when a runner becomes a member, is restarted, fails or becomes reachable again. Its duration counts
 // from the decision that lists it, because daemons that did not see the failure themselves begin the ramp at that
 // point.
-void CircleDuty::update_ramps(const Table<Runner>& runners, Duration ramp, const Circle& before, State& state,
-                              TimePoint now, Circle& next) {
+void CircleManager::update_ramps(const Table<Runner>& runners, Duration ramp, const Circle& before, State& state,
+                                 TimePoint now, Circle& next) {
   next.warm.clear();
   next.generations.clear();
   next.ramps.clear();
@@ -125,9 +125,9 @@
 
 // A rise in the number of daemons counts at once, a drop only once it has lasted: the shares of daemons that are
 // unreachable for a moment are not given to others.
-std::uint32_t CircleDuty::count_routing_daemons(const Members& members, const Circle& before, State& state,
-                                                TimePoint now) {
-  const auto routing = static_cast<std::uint32_t>(members.routing());
+std::uint32_t CircleManager::count_routing_daemons(const Members& members, const Circle& before, State& state,
+                                                   TimePoint now) {
+  const auto routing = static_cast<std::uint32_t>(members.routing_count());
   if (routing >= before.daemons) {
     state.fewer_daemons_since.reset();
     return routing;
--- a/source/circle/placers.cpp
+++ b/source/circle/placers.cpp
@@ -18,9 +18,10 @@
 
 // If all runners are members and no member took items, lots would wait: forever, if a kind has only one runner or keeps
 // all of its runners in the circle. The placer bounds how many items a member gets in addition to its prompts.
-std::set<std::string> CircleDuty::members_shared_with_lots(const Table<Runner>& runners, const Kind& kind,
-                                                           const std::set<std::string>& available, const Circle& next,
-                                                           const LoadSummary& summary, State& state, TimePoint now) {
+std::set<std::string> CircleManager::members_shared_with_lots(const Table<Runner>& runners, const Kind& kind,
+                                                              const std::set<std::string>& available,
+                                                              const Circle& next, const LoadSummary& summary,
+                                                              State& state, TimePoint now) {
   if (available.empty() || next.members.size() < available.size()) {
     state.all_members_since.reset();
     state.last_lot_use.reset();
@@ -54,9 +55,9 @@
 // Each runner outside the circle, and each member that takes items, has one placer. It keeps its placer while that
 // daemon is alive, and otherwise gets another one under a higher term. If some daemons keep only lots, the placers are
 // chosen among them, evenly and preferably in the runner's zone.
-void CircleDuty::assign_placers(const ConfigurationView& configuration, const Members& members,
-                                const std::set<std::string>& available, const std::set<std::string>& shared_members,
-                                const State& state, Circle& next) const {
+void CircleManager::assign_placers(const ConfigurationView& configuration, const Members& members,
+                                   const std::set<std::string>& available, const std::set<std::string>& shared_members,
+                                   const State& state, Circle& next) const {
   const bool startup_over = messenger_.timers().now() - state.started > assignment_delay;
   std::map<Address, std::size_t> lot_daemons;
   for (const auto& [address, member] : members.all)
@@ -87,7 +88,7 @@
   for (const auto& name : unassigned) {
     const ZoneId& zone = configuration.runners.at(name).spec.zone;
     const Member* chosen = nullptr;
-    const auto order = duty_order(members, "place/" + name, zone);
+    const auto order = singleton_role_order(members, "place/" + name, zone);
     auto rank = [&](const Member* member) {
       const std::size_t assigned = lot_daemons.at(member->address);
       return std::make_tuple(assigned >= fair_share, member->zone != zone, assigned);
--- a/source/gossip/configuration_gossip.cpp
+++ b/source/gossip/configuration_gossip.cpp
@@ -122,12 +122,12 @@
 // suspended; the time without a lease is then counted from now.
 void ConfigurationGossip::track_lease_search() {
   const TimePoint now = messenger_.timers().now();
-  const bool suspended = now.microseconds - shared_state_.gossip_tick.load() > 3 * round_interval.count();
+  const bool suspended = now.microseconds - shared_state_.last_gossip_tick.load() > 3 * round_interval.count();
   if (shared_state_.has_lease(now))
-    shared_state_.lease_sought_since = -1;
-  else if (shared_state_.lease_sought_since.load() < 0 || suspended)
-    shared_state_.lease_sought_since = now.microseconds;
-  shared_state_.gossip_tick = now.microseconds;
+    shared_state_.lease_renewal_since = -1;
+  else if (shared_state_.lease_renewal_since.load() < 0 || suspended)
+    shared_state_.lease_renewal_since = now.microseconds;
+  shared_state_.last_gossip_tick = now.microseconds;
 }
 
 // Compares the copies of both daemons, sends the peer what is newer here, and fetches what is newer there.
--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -53,7 +53,7 @@
       std::make_unique<Messenger>(*transport_, worker.loop.timers(), settings_.address, self_.incarnation, slice);
   transport_->route(slice, [&worker](Envelope envelope) {
     worker.loop.offer(
-        [&worker, envelope = std::move(envelope)]() mutable { worker.messenger->take(std::move(envelope)); });
+        [&worker, envelope = std::move(envelope)]() mutable { worker.messenger->receive(std::move(envelope)); });
   });
 }
 
@@ -79,7 +79,7 @@
     auto opened = disk_->open();
     if (auto error = error_of(opened)) return *error;
     ReplicatedStore::Report report;
-    report.note = [](StringView message) {
+    report.log = [](StringView message) {
       logs::info("store", message);
     };
     store_ = std::make_unique<ReplicatedStore>(*store_worker_.messenger, shared_state_, *disk_,
@@ -91,8 +91,8 @@
   }
   if (stores_control_state) {
     make_messenger(circle_worker_, "circle");
-    circle_ = std::make_unique<CircleDuty>(*circle_worker_.messenger, shared_state_);
-    circle_->note = [](StringView message) {
+    circle_ = std::make_unique<CircleManager>(*circle_worker_.messenger, shared_state_);
+    circle_->log = [](StringView message) {
       logs::info("circle", message);
     };
   }
--- a/source/host/daemon.hpp
+++ b/source/host/daemon.hpp
@@ -71,7 +71,7 @@
   std::unique_ptr<ConfigurationGossip> gossip_;
   std::unique_ptr<Founding> founding_;
   std::unique_ptr<ReplicatedStore> store_;
-  std::unique_ptr<CircleDuty> circle_;
+  std::unique_ptr<CircleManager> circle_;
   std::unique_ptr<Lots> lots_;
   std::unique_ptr<ItemPlacer> item_placer_;
   std::unique_ptr<Router> router_;
--- a/source/lots/item_placer.cpp
+++ b/source/lots/item_placer.cpp
@@ -159,8 +159,8 @@
     schedule_fetch();
   });
   messenger_.on_message<PlacerTotals>([this](const Address&, PlacerTotals message) {
-    shared_state_.take_totals(message.totals.runner_kind,
-                              KindTotals{messenger_.timers().now(), std::move(message.totals.runners)});
+    shared_state_.set_totals(message.totals.runner_kind,
+                             KindTotals{messenger_.timers().now(), std::move(message.totals.runners)});
   });
   messenger_.on_request<AskHeld>([this](const Address&, AskHeld request, ReplyCallback<CheckHeldItemsReply> respond) {
     if (request.incarnation != messenger_.incarnation())
@@ -222,11 +222,11 @@
   if (totals == load->end() || !state.appointed_since) return 0;
   auto found = totals->second.runners.find(runner_name);
   // Older totals do not include the prompts that were sent to the runner shortly before the appointment.
-  if (totals->second.heard < *state.appointed_since) return 0;
+  if (totals->second.received < *state.appointed_since) return 0;
   const std::uint32_t used_slots =
       state.open_items + (found == totals->second.runners.end() ? 0 : found->second.open + found->second.foreign);
   std::uint32_t free_slots = used_slots < runner.slots ? runner.slots - used_slots : 0;
-  if (totals->second.heard < *state.appointed_since + totals_lag)
+  if (totals->second.received < *state.appointed_since + totals_lag)
     free_slots = free_slots > runner.slots / 2 ? free_slots - runner.slots / 2 : 0;
   if (shared) {
     const std::uint32_t item_limit = items_beside_prompts(kind, runner);
--- a/source/replication/replicated_store.cpp
+++ b/source/replication/replicated_store.cpp
@@ -15,7 +15,7 @@
 
 // Only control state is distributed by gossip, lots are not.
 bool is_gossiped(StringView key) {
-  return !lot_key(key);
+  return !is_lot_key(key);
 }
 }  // namespace
 
@@ -138,9 +138,9 @@
   durable_ = durable_ || log_.compactions() > 0;
   const bool stalled = log_.stalled();
   if (stalled && !shared_state_.stalled.load())
-    report_.note(log_.failed() ? "Writing to the disk failed; this storage node gives up the slots that it owns."
-                               : "The disk does not respond; this storage node gives up the slots that it owns.");
-  if (!stalled && shared_state_.stalled.load()) report_.note("The disk responds again.");
+    report_.log(log_.failed() ? "Writing to the disk failed; this storage node gives up the slots that it owns."
+                              : "The disk does not respond; this storage node gives up the slots that it owns.");
+  if (!stalled && shared_state_.stalled.load()) report_.log("The disk responds again.");
   shared_state_.stalled = stalled;
   if (!stalled) return;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot)
@@ -166,7 +166,7 @@
   if (stores_only_lots()) return;
   std::vector<Address> voters;
   for (const auto& voter : roster_.voters) voters.push_back(voter.address);
-  shared_state_.control_seats.set(std::move(voters));
+  shared_state_.known_control_voters.set(std::move(voters));
 }
 
 void ReplicatedStore::push_to_gossip(const std::vector<const Record*>& records) {
--- a/source/replication/replicated_store.hpp
+++ b/source/replication/replicated_store.hpp
@@ -17,7 +17,7 @@
  public:
   // Callback for log messages.
   struct Report {
-    std::function<void(StringView)> note = [](StringView) {
+    std::function<void(StringView)> log = [](StringView) {
     };
   };
   // first_start: whether the whole fleet starts for the first time, as the platform has told this host. Absent if the
@@ -133,7 +133,7 @@
   bool stores_only_lots() const { return self_.keeps == "lots"; }
   // Only a node that stores nothing but lots refuses changes for lack of disk space.
   bool has_room(std::size_t bytes) const { return !stores_only_lots() || log_.has_room_for_entry(bytes); }
-  bool stores_key(StringView key) const { return self_.keeps.empty() || lot_key(key) == stores_only_lots(); }
+  bool stores_key(StringView key) const { return self_.keeps.empty() || is_lot_key(key) == stores_only_lots(); }
   // Creation of the first roster of a new fleet; see roster_bootstrap.cpp.
   void bootstrap_from_seeds();
   void bootstrap_from_candidates();
--- a/source/replication/roster_bootstrap.cpp
+++ b/source/replication/roster_bootstrap.cpp
@@ -117,8 +117,8 @@
 void ReplicatedStore::propose_roster(Roster roster, std::size_t seed) {
   if (seed == seeds_.size()) {
     bootstrapping_ = false;
-    report_.note("Created the first roster with " + std::to_string(roster.voters.size()) +
-                 " voters; all seeds have voted for it.");
+    report_.log("Created the first roster with " + std::to_string(roster.voters.size()) +
+                " voters; all seeds have voted for it.");
     for (const auto& voter : roster.voters)
       messenger_.request(voter.address, FoundRoster{roster}, milliseconds(500), [](Result<IdentifyReply>) {});
     return;
--- a/source/replication/roster_changes.cpp
+++ b/source/replication/roster_changes.cpp
@@ -91,7 +91,7 @@
                                                          TimePoint newest) const {
   const auto members = shared_state_.members.get();
   const TimePoint now = messenger_.timers().now();
-  const Member* member = members->holder(voter.holder);
+  const Member* member = members->storage_node(voter.holder);
   const bool available = member != nullptr && !member->stalled;
   if (available) {
     observations.unreachable_since.erase(voter.holder);
@@ -202,9 +202,9 @@
   }
   counts_.short_of_seats.erase(key);
   if (!observations.short_of_voters_since) return;
-  report_.note("Roster " + key + " is complete again: " + std::to_string(current.voters.size()) + " voters, " +
-               std::to_string((now - *observations.short_of_voters_since).count() / 1000) +
-               " ms after it became short of voters.");
+  report_.log("Roster " + key + " is complete again: " + std::to_string(current.voters.size()) + " voters, " +
+              std::to_string((now - *observations.short_of_voters_since).count() / 1000) +
+              " ms after it became short of voters.");
   observations.short_of_voters_since.reset();
 }
 
@@ -220,7 +220,7 @@
   // An unreachable voter owns no slots; waiting for its reply would only delay the next attempt.
   const auto members = shared_state_.members.get();
   std::vector<Voter> voters = current.voters;
-  std::erase_if(voters, [&](const Voter& voter) { return members->holder(voter.holder) == nullptr; });
+  std::erase_if(voters, [&](const Voter& voter) { return members->storage_node(voter.holder) == nullptr; });
   count->outstanding = voters.size();
   if (voters.empty()) changing_.erase(key);
   for (const auto& voter : voters)
@@ -244,11 +244,11 @@
   if (slot_ownership_[slot].state != SlotOwnership::State::owned) return void(changing_.erase(key));
   const TimePoint now = messenger_.timers().now();
   TimePoint& last_change = observations_[key].last_change;
-  report_.note("Changing roster " + key + " to version " + std::to_string(next.version.value) + " with " +
-               std::to_string(next.voters.size()) + " voters" +
-               (last_change == TimePoint{}
-                    ? std::string(".")
-                    : ", " + std::to_string((now - last_change).count() / 1000) + " ms after the previous change."));
+  report_.log("Changing roster " + key + " to version " + std::to_string(next.version.value) + " with " +
+              std::to_string(next.voters.size()) + " voters" +
+              (last_change == TimePoint{}
+                   ? std::string(".")
+                   : ", " + std::to_string((now - last_change).count() / 1000) + " ms after the previous change."));
   last_change = now;
   ++counts_.roster_changes;
   Write request;
--- a/source/replication/slot_records.cpp
+++ b/source/replication/slot_records.cpp
@@ -25,7 +25,7 @@
   if (found == replica.records.end()) return;
   replica.digest ^= record_hash(found->second);
   replica.bytes -= size_of(found->second);
-  if (lot_key(key)) replica.removed_lots -= found->second.removed;
+  if (is_lot_key(key)) replica.removed_lots -= found->second.removed;
   replica.records.erase(found);
 }
 
--- a/source/replication/store_file.cpp
+++ b/source/replication/store_file.cpp
@@ -19,11 +19,11 @@
   if (auto error = error_of(read)) return *error;
   loaded_file_ = std::get<ReadFile>(std::move(read));
   if (loaded_file_.damaged)
-    report_.note(
+    report_.log(
         "The record file is damaged; this data folder gets a new identity and copies its records from other storage "
         "nodes.");
   else if (loaded_file_.torn)
-    report_.note("The record file ended in an incomplete entry, which was truncated.");
+    report_.log("The record file ended in an incomplete entry, which was truncated.");
   for (auto& entry : std::exchange(loaded_file_.entries, {}))
     if (auto replayed = replay(std::move(entry)); error_of(replayed)) return replayed;
   if (identity_.empty()) assign_new_identity();
--- a/source/replication/takeover.cpp
+++ b/source/replication/takeover.cpp
@@ -135,7 +135,7 @@
       continue;  // Not part of the last completed takeover, so never on a majority.
     // The takeover drops the tombstones of removed lots: older replicas of these lots are below the new epoch and are
     // ignored from now on.
-    if (record->removed && lot_key(key)) continue;
+    if (record->removed && is_lot_key(key)) continue;
     takeover->content.push_back(RecordStamp{key, stamp, record->written});
   }
   // Records that this node has itself are sent from its own replica.
@@ -192,7 +192,7 @@
 void ReplicatedStore::install_at_lagging_voters() {
   const auto members = shared_state_.members.get();
   for (const auto& voter : roster_.voters) {
-    const Member* member = members->holder(voter.holder);
+    const Member* member = members->storage_node(voter.holder);
     if (member == nullptr || member->stalled) continue;
     for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
       SlotOwnership& ownership = slot_ownership_[slot];
--- a/source/replication/writes.cpp
+++ b/source/replication/writes.cpp
@@ -11,7 +11,7 @@
 
 // Only control state is distributed by gossip, lots are not.
 bool is_gossiped(StringView key) {
-  return !lot_key(key);
+  return !is_lot_key(key);
 }
 }  // namespace
 
--- a/source/routes/router_admission.cpp
+++ b/source/routes/router_admission.cpp
@@ -10,7 +10,7 @@
   const bool is_new = record.configuration == nullptr;
   // A daemon that has just started receives the configuration within a second or two, so requests wait for it for a
   // short time.
-  if (shared_state_.was_ever_fresh()) {
+  if (shared_state_.has_had_lease()) {
     auto configuration = shared_state_.configuration.get();
     std::string name;
     const Lane* lane = configuration->lane_for(record.request.target, &name, record.info.host);
--- a/source/routes/runner_table.cpp
+++ b/source/routes/runner_table.cpp
@@ -56,14 +56,14 @@
       runner_state.items = total.items;
       runner_state.load_updated = messenger_.timers().now();
     }
-    shared_state_.take_totals(totals.runner_kind, KindTotals{messenger_.timers().now(), std::move(totals.runners)});
+    shared_state_.set_totals(totals.runner_kind, KindTotals{messenger_.timers().now(), std::move(totals.runners)});
   });
 }
 
 // Returns the number of daemons that share the runners. A daemon that has just started or has lost contact with the
 // others knows too few of them and must not use their shares, so the number in the circles counts as well.
 std::size_t RunnerTable::count_daemons(const ConfigurationView& configuration) const {
-  std::size_t count = std::max<std::size_t>(1, shared_state_.members.get()->routing());
+  std::size_t count = std::max<std::size_t>(1, shared_state_.members.get()->routing_count());
   for (const auto& [kind, circle] : configuration.circles) count = std::max<std::size_t>(count, circle.spec.daemons);
   return count;
 }
@@ -221,7 +221,7 @@
   const auto members = shared_state_.members.get();
   const auto* subset = context.shares.users_of(name);
   std::size_t count = 0, rank = 0;
-  const auto order = duty_order(*members, "warm/" + name, runner.zone);
+  const auto order = singleton_role_order(*members, "warm/" + name, runner.zone);
   for (const Member* member : order) {
     if (!member->routes() && member->address != messenger_.self()) continue;
     if (subset != nullptr && !subset->contains(member->address.text)) continue;
--- a/source/scale/loopback.cpp
+++ b/source/scale/loopback.cpp
@@ -81,7 +81,8 @@
       Messenger& messenger = *(posts_[slice] = std::make_unique<Messenger>(transport_, thread_.timers(), self.address,
                                                                            self.incarnation, slice));
       transport_.route(slice, [this, &messenger](Envelope envelope) {
-        thread_.offer([&messenger, envelope = std::move(envelope)]() mutable { messenger.take(std::move(envelope)); });
+        thread_.offer(
+            [&messenger, envelope = std::move(envelope)]() mutable { messenger.receive(std::move(envelope)); });
       });
     }
     sessions_ = std::make_unique<Sessions>(*posts_["sessions"], shared_state, self, std::move(seeds));
--- a/source/sessions/messenger.cpp
+++ b/source/sessions/messenger.cpp
@@ -26,7 +26,7 @@
   callback(std::move(result));
 }
 
-void Messenger::take(Envelope envelope) {
+void Messenger::receive(Envelope envelope) {
   // A message of another protocol version is refused with an error, which daemons of all versions can decode.
   if (envelope.protocol != protocol_number && !(envelope.reply && envelope.kind == "fault"))
     return envelope.reply
--- a/source/sessions/messenger.hpp
+++ b/source/sessions/messenger.hpp
@@ -34,7 +34,7 @@
   Timers& timers() const { return timers_; }
 
   // Handles an envelope that was received for this component.
-  void take(Envelope envelope);
+  void receive(Envelope envelope);
 
   template <class Message>
   void send(const Address& to, const Message& message) {
--- a/source/sessions/sessions.cpp
+++ b/source/sessions/sessions.cpp
@@ -59,7 +59,7 @@
   if (!is_control_daemon()) return false;
   if (shared_state_.has_lease(messenger_.timers().now())) return true;
   const bool knows_roster =
-      !shared_state_.configuration.get()->roster.voters.empty() || !shared_state_.control_seats.get()->empty();
+      !shared_state_.configuration.get()->roster.voters.empty() || !shared_state_.known_control_voters.get()->empty();
   return !knows_roster && member.roster == Version{};
 }
 
--- a/source/sessions/shared_state.cpp
+++ b/source/sessions/shared_state.cpp
@@ -7,12 +7,12 @@
 
 namespace mothwalk {
 
-std::size_t Members::routing() const {
+std::size_t Members::routing_count() const {
   return static_cast<std::size_t>(
       std::count_if(all.begin(), all.end(), [](const auto& member) { return member.second.routes(); }));
 }
 
-const Member* Members::holder(const StorageNodeId& id) const {
+const Member* Members::storage_node(const StorageNodeId& id) const {
   for (const auto& [address, member] : all)
     if (member.holder == id) return &member;
   return nullptr;
@@ -35,7 +35,7 @@
     if (member.keeps_control()) add(address);
   for (const auto snapshot = shared_state.configuration.get(); const auto& voter : snapshot->roster.voters)
     add(voter.address);
-  for (const auto snapshot = shared_state.control_seats.get(); const auto& address : *snapshot) add(address);
+  for (const auto snapshot = shared_state.known_control_voters.get(); const auto& address : *snapshot) add(address);
   return list;
 }
 
@@ -59,7 +59,7 @@
 
 const Voter* slot_owner(const Roster& roster, const Members& members, std::uint32_t slot) {
   for (const Voter* voter : slot_order(roster, slot)) {
-    const Member* member = members.holder(voter->holder);
+    const Member* member = members.storage_node(voter->holder);
     if (member != nullptr && !member->stalled) return voter;
   }
   return nullptr;
@@ -67,11 +67,11 @@
 
 const Voter* key_owner(const ConfigurationView& configuration, const Members& members, StringView key) {
   const Voter* voter = slot_owner(configuration.roster_of(key), members, slot_of(key));
-  const Member* member = voter == nullptr ? nullptr : members.holder(voter->holder);
-  return member != nullptr && (lot_key(key) ? member->keeps_lots() : member->keeps_control()) ? voter : nullptr;
+  const Member* member = voter == nullptr ? nullptr : members.storage_node(voter->holder);
+  return member != nullptr && (is_lot_key(key) ? member->keeps_lots() : member->keeps_control()) ? voter : nullptr;
 }
 
-std::vector<const Member*> duty_order(const Members& members, StringView duty, const ZoneId& zone) {
+std::vector<const Member*> singleton_role_order(const Members& members, StringView duty, const ZoneId& zone) {
   std::vector<const Member*> order;
   for (const auto& [address, member] : members.all) order.push_back(&member);
   std::sort(order.begin(), order.end(), [&](const Member* left, const Member* right) {
--- a/source/sessions/shared_state.hpp
+++ b/source/sessions/shared_state.hpp
@@ -53,10 +53,11 @@
 // The members of the cluster as this daemon knows them.
 struct Members {
   std::map<Address, Member> all;
-  Address session_server;                               // The control daemon that holds this daemon's session.
-  std::size_t control_daemons = 0;                      // How many members keep control state.
-  const Member* holder(const StorageNodeId& id) const;  // The member with this identity as a storage node, if any.
-  std::size_t routing() const;                          // How many members route requests.
+  Address session_server;           // The control daemon that holds this daemon's session.
+  std::size_t control_daemons = 0;  // How many members keep control state.
+  const Member* storage_node(
+      const StorageNodeId& id) const;  // The member with this identity as a storage node, if any.
+  std::size_t routing_count() const;   // How many members route requests.
 };
 
 // The slots that this daemon owns, each with the epoch of its ownership. Keys are hashed onto the slots.
@@ -72,13 +73,13 @@
 };
 // The totals of all runners of one kind, by the runner's name.
 struct KindTotals {
-  TimePoint heard;  // When they were received.
+  TimePoint received;  // When they were received.
   std::map<std::string, RunnerTotal> runners;
 };
 
 struct SharedState {
   // The voters for control state as known from the data folder, used before gossip has delivered any configuration.
-  Shared<std::vector<Address>> control_seats;
+  Shared<std::vector<Address>> known_control_voters;
   Shared<std::vector<Address>> seeds;  // As in the current settings.
   Shared<Members> members;
   Shared<ConfigurationView> configuration;
@@ -88,25 +89,25 @@
   // known configuration. It is renewed when a comparison with a control daemon in contact with a majority shows that
   // the configuration is complete.
   std::atomic<std::int64_t> lease_until{-1};
-  std::atomic<std::int64_t> lease_sought_since{-1};  // Since when this daemon has tried to renew an expired lease.
-  std::atomic<std::int64_t> gossip_tick{-1};         // When gossip last ran. It is old after the process was suspended.
-  std::atomic<bool> stalled{false};                  // Whether this daemon's disk does not respond.
-  std::atomic<bool> draining{false};                 // Whether new requests are refused while open ones end.
+  std::atomic<std::int64_t> lease_renewal_since{-1};  // Since when this daemon has tried to renew an expired lease.
+  std::atomic<std::int64_t> last_gossip_tick{-1};  // When gossip last ran. It is old after the process was suspended.
+  std::atomic<bool> stalled{false};                // Whether this daemon's disk does not respond.
+  std::atomic<bool> draining{false};               // Whether new requests are refused while open ones end.
   bool has_lease(TimePoint now) const { return lease_until.load() >= now.microseconds; }
   // Whether this process has ever had a lease.
-  bool was_ever_fresh() const { return lease_until.load() >= 0; }
+  bool has_had_lease() const { return lease_until.load() >= 0; }
   // Whether the renewal of an expired lease has failed for so long that the newest known configuration stays in force.
   bool is_isolated(TimePoint now) const {
-    const std::int64_t sought = lease_sought_since.load();
+    const std::int64_t sought = lease_renewal_since.load();
     return sought >= 0 && now - TimePoint{sought} > std::chrono::milliseconds(1000);
   }
   // Whether requests may be served by the configuration known here: under a lease, or while isolated. An isolated
   // process that was suspended may serve only once gossip has run again.
   bool may_serve_requests(TimePoint now) const {
-    const bool gossip_runs = now - TimePoint{gossip_tick.load()} < std::chrono::milliseconds(600);
-    return has_lease(now) || (was_ever_fresh() && gossip_runs && is_isolated(now));
+    const bool gossip_runs = now - TimePoint{last_gossip_tick.load()} < std::chrono::milliseconds(600);
+    return has_lease(now) || (has_had_lease() && gossip_runs && is_isolated(now));
   }
-  void take_totals(const std::string& kind, KindTotals totals) {
+  void set_totals(const std::string& kind, KindTotals totals) {
     auto all = *load.get();
     all[kind] = std::move(totals);
     load.set(std::move(all));
@@ -136,11 +137,11 @@
 const Voter* slot_owner(const Roster& roster, const Members& members, std::uint32_t slot);
 // Returns the voter that owns the key, from the roster of the storage nodes that keep it, or null while there is none.
 const Voter* key_owner(const ConfigurationView& configuration, const Members& members, StringView key);
-inline bool lot_key(StringView key) {
+inline bool is_lot_key(StringView key) {
   return key.starts_with("lot/");
 }
 // Returns all members in the order of preference for a singleton role, with those of the given zone first. All daemons
 // with the same members compute the same order.
-std::vector<const Member*> duty_order(const Members& members, StringView duty, const ZoneId& zone);
+std::vector<const Member*> singleton_role_order(const Members& members, StringView duty, const ZoneId& zone);
 
 }  // namespace mothwalk
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -60,7 +60,7 @@
     components_->founding = std::make_unique<Founding>(messenger("founding"), *shared_state_, *first_start);
   if (has_disk) {
     ReplicatedStore::Report report;
-    report.note = [this](StringView sentence) {
+    report.log = [this](StringView sentence) {
       cluster_.world.log_event(name + " kept: " + std::string(sentence));
     };
     components_->kept = std::make_unique<ReplicatedStore>(messenger("store"), *shared_state_, disk_, world.random, self,
@@ -75,7 +75,8 @@
       return exit_and_restart();
     }
     self.holder = components_->kept->identity();
-    if (self.keeps_control()) components_->circle = std::make_unique<CircleDuty>(messenger("circle"), *shared_state_);
+    if (self.keeps_control())
+      components_->circle = std::make_unique<CircleManager>(messenger("circle"), *shared_state_);
     if (self.keeps_lots()) components_->lots = std::make_unique<Lots>(messenger("lots"), *shared_state_);
   }
   components_->live_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, life_);
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -46,7 +46,7 @@
   SimulatedDisk& disk() { return disk_; }
   LifePointer life() { return life_; }
   Router* entries() { return components_ ? components_->entries.get() : nullptr; }
-  const CircleDuty* circle() const { return components_ ? components_->circle.get() : nullptr; }
+  const CircleManager* circle() const { return components_ ? components_->circle.get() : nullptr; }
   StoreClient* client() { return components_ ? components_->client.get() : nullptr; }
   Control* control() { return components_ ? components_->control.get() : nullptr; }
   // The messenger of the operator interface, for operator dialects that a test attaches to it; null while the machine
@@ -66,7 +66,7 @@
     std::unique_ptr<ConfigurationGossip> gossip;
     std::unique_ptr<Founding> founding;
     std::unique_ptr<ReplicatedStore> kept;
-    std::unique_ptr<CircleDuty> circle;
+    std::unique_ptr<CircleManager> circle;
     std::unique_ptr<Lots> lots;
     std::unique_ptr<ItemPlacer> item_placer;
     std::unique_ptr<Router> entries;
--- a/source/simulate/faults.cpp
+++ b/source/simulate/faults.cpp
@@ -30,7 +30,7 @@
 
 Machine& owner_of(SimulatedCluster& cluster, const std::string& key) {
   for (Machine* node : cluster.holders())
-    if (node->alive() && (node->keeps.empty() || lot_key(key) != node->serves()) &&
+    if (node->alive() && (node->keeps.empty() || is_lot_key(key) != node->serves()) &&
         node->shared_state().owned.get()->slots.contains(slot_of(key)))
       return *node;
   return *cluster.holders()[0];
--- a/source/simulate/scenario_run.cpp
+++ b/source/simulate/scenario_run.cpp
@@ -32,7 +32,8 @@
     if (const Router* router = machine->entries(); router != nullptr && router->counts().held_beside_idle > 0)
       list.push_back("a limit held requests up beside idle runners: " + machine->name + " counts " +
                      std::to_string(router->counts().held_beside_idle));
-    if (const CircleDuty* circle = machine->circle(); circle != nullptr && circle->counts().connections_over_limit > 0)
+    if (const CircleManager* circle = machine->circle();
+        circle != nullptr && circle->counts().connections_over_limit > 0)
       list.push_back("a runner had more connections than it takes: " + machine->name + " counts " +
                      std::to_string(circle->counts().connections_over_limit));
   }
--- a/tests/circle_duty_test.cpp
+++ b/tests/circle_duty_test.cpp
@@ -1,4 +1,4 @@
-// Tests CircleDuty with a simulated clock and store, and with load reports sent by the test. Many cases concern
+// Tests CircleManager with a simulated clock and store, and with load reports sent by the test. Many cases concern
 // decisions on incomplete data.
 #include <catch2/catch.hpp>
 
@@ -50,14 +50,14 @@
   void report(const std::string& from, LoadReport load) {
     load.runner_kind = "model";
     load.incarnation = 7;
-    messenger.take(Envelope{Address(from), 7, "circle", "routes", std::string(LoadReport::kind), 0, false,
-                            to_cbor(load), protocol_number});
+    messenger.receive(Envelope{Address(from), 7, "circle", "routes", std::string(LoadReport::kind), 0, false,
+                               to_cbor(load), protocol_number});
   }
   void report_pending_items(std::uint32_t pending, double at_once) {
     KindPending lots;
     lots.kinds["model"] = LotDemand{pending, at_once};
-    messenger.take(Envelope{Address("10.0.0.1:1"), 7, "circle", "lots", std::string(KindPending::kind), 0, false,
-                            to_cbor(lots), protocol_number});
+    messenger.receive(Envelope{Address("10.0.0.1:1"), 7, "circle", "lots", std::string(KindPending::kind), 0, false,
+                               to_cbor(lots), protocol_number});
   }
   // Advances the clock. Every half second, each routing daemon reports this many open prompts for each member of the
   // circle.
@@ -78,7 +78,7 @@
     const auto write = *from_cbor<Write>(envelope.body);
     put(write.key, *write.head);
     world.at(milliseconds(1), life, [this, envelope, to] {
-      messenger.take(
+      messenger.receive(
           Envelope{to, 7, "circle", "store", "reply", envelope.call, true, to_cbor(WriteReply{}), protocol_number});
     });
   }
@@ -96,7 +96,7 @@
   Members members;
   ConfigurationView view;
   std::uint64_t versions = 0;
-  CircleDuty circle_duty{messenger, shared_state};
+  CircleManager circle_duty{messenger, shared_state};
 };
 
 const char* kind_with_reserve = R"({"circle":{"cycle":2000,"floor":2,"reserve":2,"ramp":500,"target":0.6}})";
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -28,8 +28,8 @@
   explicit Seed(bool first_start) : founding(messenger, shared_state, first_start) {}
   template <class Message>
   typename Message::Reply deliver(const std::string& from, const Message& message) {
-    messenger.take(Envelope{Address(from), 1, "founding", "store", std::string(Message::kind), 5, false,
-                            to_cbor(message), protocol_number});
+    messenger.receive(Envelope{Address(from), 1, "founding", "store", std::string(Message::kind), 5, false,
+                               to_cbor(message), protocol_number});
     return *from_cbor<typename Message::Reply>(wire.last.body);
   }
 };
--- a/tests/invalid_messages_test.cpp
+++ b/tests/invalid_messages_test.cpp
@@ -49,10 +49,10 @@
 
 TEST_CASE("a reply is accepted once, and only from the peer that was called") {
   PendingCall pending(5);
-  pending.messenger.take(pending.reply(other));
+  pending.messenger.receive(pending.reply(other));
   CHECK(pending.results.empty());
-  pending.messenger.take(pending.reply(peer));
-  pending.messenger.take(pending.reply(peer));
+  pending.messenger.receive(pending.reply(peer));
+  pending.messenger.receive(pending.reply(peer));
   pending.world.run_until(pending.world.now() + seconds(2));
   CHECK(pending.results == std::vector<std::string>{"answer"});
 }
@@ -61,9 +61,9 @@
   SeededRandom random(4);
   PendingCall earlier(new_incarnation(milliseconds(1000), random)),
       current(new_incarnation(milliseconds(1300), random));
-  current.messenger.take(earlier.reply(peer));
+  current.messenger.receive(earlier.reply(peer));
   CHECK(current.results.empty());
-  current.messenger.take(current.reply(peer));
+  current.messenger.receive(current.reply(peer));
   CHECK(current.results == std::vector<std::string>{"answer"});
 }
 
@@ -91,7 +91,7 @@
     envelope.call = call;
     envelope.body = body;
     envelope.protocol = protocol;
-    messenger.take(std::move(envelope));
+    messenger.receive(std::move(envelope));
     world.run_until(world.now() + milliseconds(10));
   };
   RosterUpdate roster_update;
@@ -107,7 +107,7 @@
     send(RosterUpdate::kind, to_cbor(roster_update), 0, protocol);
     send(Promise::kind, to_cbor(promise), 8, protocol);
     CHECK(disk.size() == size);
-    CHECK(shared_state.control_seats.get()->empty());
+    CHECK(shared_state.known_control_voters.get()->empty());
     std::size_t refusals = 0;
     for (const auto& envelope : transport.sent) {
       if (!envelope.reply) continue;
--- a/tests/item_placer_test.cpp
+++ b/tests/item_placer_test.cpp
@@ -163,8 +163,8 @@
   fixture.wait(std::chrono::seconds(3));
   CHECK(fixture.reports.empty());
   auto count_held_items = [&] {
-    fixture.messenger.take(Envelope{fixture.self, 7, "placing", "lots", "placing.slot", 5, false,
-                                    to_cbor(AskSlot{slot_of("lot/lot")}), protocol_number});
+    fixture.messenger.receive(Envelope{fixture.self, 7, "placing", "lots", "placing.slot", 5, false,
+                                       to_cbor(AskSlot{slot_of("lot/lot")}), protocol_number});
     return from_cbor<HeldItems>(fixture.sent.back().body)->items.size();
   };
   CHECK(count_held_items() == 1);
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -398,9 +398,9 @@
     calls.submit(SubmitLot{"lot", OwnerFixture::make_batch(1)}, seconds(2),
                  [&](Result<LotStatus> result) { outcome = std::move(result); });
     auto send_error = [&](ErrorKind kind) {
-      messenger.take(Envelope{owner, 1, "control", "lots", "fault", wire.sent.back().call, true,
-                              to_cbor(WireError{static_cast<std::int32_t>(kind), "lots", "no", "again"}),
-                              protocol_number});
+      messenger.receive(Envelope{owner, 1, "control", "lots", "fault", wire.sent.back().call, true,
+                                 to_cbor(WireError{static_cast<std::int32_t>(kind), "lots", "no", "again"}),
+                                 protocol_number});
       world.run_until(world.now() + milliseconds(150));
     };
     REQUIRE(wire.sent.size() == 1);
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -79,13 +79,13 @@
   }
   void send_placer_reply(const Envelope& request, Bytes body, const Address& from) {
     world.at(std::chrono::milliseconds(1), incarnation, [this, request, body, from] {
-      messenger.take(Envelope{from, 1, "lots", "placing", "reply", request.call, true, body, protocol_number});
+      messenger.receive(Envelope{from, 1, "lots", "placing", "reply", request.call, true, body, protocol_number});
     });
   }
   void handle_store_request(const Envelope& request) {
     auto send_reply = [&](Bytes body, bool error = false) {
-      messenger.take(Envelope{self, 1, "lots", "store", error ? "fault" : "reply", request.call, true, std::move(body),
-                              protocol_number});
+      messenger.receive(Envelope{self, 1, "lots", "store", error ? "fault" : "reply", request.call, true,
+                                 std::move(body), protocol_number});
     };
     auto send_error = [&](ErrorKind kind) {
       send_reply(to_cbor(WireError{static_cast<std::int32_t>(kind), "slot", "no", "ask again"}), true);
@@ -124,8 +124,8 @@
   // Sends a request to the owner and returns the number of the call.
   template <class Message>
   std::uint64_t send_request(const Message& message, const Address& from = Address("10.0.0.2:1")) {
-    messenger.take(Envelope{from, 7, "lots", "placing", std::string(Message::kind), ++calls, false, to_cbor(message),
-                            protocol_number});
+    messenger.receive(Envelope{from, 7, "lots", "placing", std::string(Message::kind), ++calls, false, to_cbor(message),
+                               protocol_number});
     return calls;
   }
   const Envelope* reply_to_call(std::uint64_t number) const {
@@ -301,12 +301,12 @@
   }
   void send_reply(const Envelope& request, Bytes body, Duration after = std::chrono::milliseconds(1)) {
     world.at(after, incarnation, [this, request, body] {
-      messenger.take(Envelope{self, 1, "placing", "lots", "reply", request.call, true, body, protocol_number});
+      messenger.receive(Envelope{self, 1, "placing", "lots", "reply", request.call, true, body, protocol_number});
     });
   }
   template <class Message>
   void send_message(const Message& message) {
-    messenger.take(
+    messenger.receive(
         Envelope{self, 7, "placing", "lots", std::string(Message::kind), 0, false, to_cbor(message), protocol_number});
   }
   static PlacedItem make_item(std::uint32_t index = 0, PartialStream part = {}) {
--- a/tests/lots_test.cpp
+++ b/tests/lots_test.cpp
@@ -31,7 +31,7 @@
   shared_state.owned.set(Ownership{{{slot, Epoch{4}}}});
   lots.start();
   auto reply_to = [&](const Envelope& request, bool error) {
-    messenger.take(
+    messenger.receive(
         Envelope{self, 1, "lots", "store", error ? "fault" : "reply", request.call, true,
                  error ? to_cbor(WireError{static_cast<std::int32_t>(ErrorKind::busy), "slot", "moved", "ask again"})
                  : request.kind == "store.list" ? to_cbor(ListSlotReply{})
@@ -41,15 +41,15 @@
   REQUIRE(wire.last("store.list") != nullptr);
   reply_to(*wire.last("store.list"), false);
   for (bool confirmed_as_owner : {false, true}) {
-    messenger.take(Envelope{placer, 1, "lots", "placing", "lots.finish", 77, false,
-                            to_cbor(FinishItems{{ItemReport{"unheard-of", 0, 1, "answer", 200, "done"}}}),
-                            protocol_number});
+    messenger.receive(Envelope{placer, 1, "lots", "placing", "lots.finish", 77, false,
+                               to_cbor(FinishItems{{ItemReport{"unheard-of", 0, 1, "answer", 200, "done"}}}),
+                               protocol_number});
     REQUIRE(wire.last("store.confirmslot") != nullptr);
     reply_to(*wire.last("store.confirmslot"), !confirmed_as_owner);
     CHECK(wire.sent.back().call == 77);
     CHECK(wire.sent.back().kind == (confirmed_as_owner ? "reply" : "fault"));
-    messenger.take(Envelope{placer, 1, "lots", "control", "lots.cancel", 78, false, to_cbor(CancelLot{"unheard-of"}),
-                            protocol_number});
+    messenger.receive(Envelope{placer, 1, "lots", "control", "lots.cancel", 78, false, to_cbor(CancelLot{"unheard-of"}),
+                               protocol_number});
     reply_to(*wire.last("store.confirmslot"), !confirmed_as_owner);
     CHECK(wire.sent.back().call == 78);
     const auto error = from_cbor<WireError>(wire.sent.back().body);
@@ -73,8 +73,8 @@
   shared_state.members.set(std::move(members));
   Lots lots(messenger, shared_state);
   auto fetch = [&](const Address& placer, std::uint64_t term) {
-    messenger.take(Envelope{placer, 1, "lots", "placing", "lots.fetch", 9, false,
-                            to_cbor(FetchItems{"model", "model-1", 4, term, 0}), protocol_number});
+    messenger.receive(Envelope{placer, 1, "lots", "placing", "lots.fetch", 9, false,
+                               to_cbor(FetchItems{"model", "model-1", 4, term, 0}), protocol_number});
     return wire.sent.back().kind;
   };
   CHECK(fetch(old_placer, 3) == "reply");
--- a/tests/messenger_test.cpp
+++ b/tests/messenger_test.cpp
@@ -40,8 +40,8 @@
     former_messenger.request(peer, Confirm{}, std::chrono::seconds(1), [](Result<StoreReply>) {});
     messenger.request(peer, Confirm{}, std::chrono::seconds(1), [&](Result<StoreReply>) { ++completed; });
   }
-  for (const auto& request : former_transport.sent) messenger.take(reply_to(request, peer));
+  for (const auto& request : former_transport.sent) messenger.receive(reply_to(request, peer));
   CHECK(completed == 0);
-  for (const auto& request : transport.sent) messenger.take(reply_to(request, peer));
+  for (const auto& request : transport.sent) messenger.receive(reply_to(request, peer));
   CHECK(completed == request_count);
 }
--- a/tests/model/invariants.cpp
+++ b/tests/model/invariants.cpp
@@ -119,7 +119,7 @@
     const Machine* replica = cluster_->at(seat.address);
     const DecodedFile& file = replica->disk.synced();
     auto found = file.slots[slot].stamps.find(write.key);
-    const bool may_be_dropped = write.removed && lot_key(write.key);  // a later transfer drops removed records
+    const bool may_be_dropped = write.removed && is_lot_key(write.key);  // a later transfer drops removed records
     copies += file.identity == seat.holder &&
               (found == file.slots[slot].stamps.end() ? may_be_dropped && file.slots[slot].installed > reply.stamp.epoch
                                                       : found->second >= reply.stamp);
@@ -240,7 +240,7 @@
                               "; a majority had " + text_of(required) + " two seconds before");
   }
   for (const auto& [key, times] : acknowledged_) {
-    if (lot_key(key)) continue;
+    if (is_lot_key(key)) continue;
     auto own = snapshot.stamps.find(key);
     const Stamp current = own == snapshot.stamps.end() ? Stamp{} : own->second;
     for (const auto& [time, stamp] : times)
--- a/tests/platform_freshness_test.cpp
+++ b/tests/platform_freshness_test.cpp
@@ -26,8 +26,8 @@
   fixture.shared_state.lease_until = fixture.world.now().microseconds - 1;
   CHECK(post_status(fixture, handler, "/nowhere") == 503);
   // Without a lease the daemon keeps serving its last known configuration, which may lack the newest routes.
-  fixture.shared_state.lease_sought_since = fixture.world.now().microseconds - 1100000;
-  fixture.shared_state.gossip_tick = fixture.world.now().microseconds;
+  fixture.shared_state.lease_renewal_since = fixture.world.now().microseconds - 1100000;
+  fixture.shared_state.last_gossip_tick = fixture.world.now().microseconds;
   CHECK(post_status(fixture, handler, "/nowhere") == 503);
 }
 
@@ -39,10 +39,10 @@
   CHECK(readiness_status(handler) == 200);
   const std::int64_t now = fixture.world.now().microseconds;
   fixture.shared_state.lease_until = now - 5000000;
-  fixture.shared_state.lease_sought_since = now - 4000000;
-  fixture.shared_state.gossip_tick = now - 100000;
+  fixture.shared_state.lease_renewal_since = now - 4000000;
+  fixture.shared_state.last_gossip_tick = now - 100000;
   CHECK(readiness_status(handler) == 200);
-  fixture.shared_state.gossip_tick = now - 700000;
+  fixture.shared_state.last_gossip_tick = now - 700000;
   CHECK(readiness_status(handler) == 503);
 }
 
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -137,8 +137,8 @@
     world.run_until(world.now() + milliseconds(20));
     roster = Roster{Version{1}, {Voter{identity, self, ZoneId("h")}, Voter{owner_id, owner, ZoneId("h")}}};
     auto deliver = [&](const auto& message) {
-      messenger.take(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5, false,
-                              to_cbor(message), protocol_number});
+      messenger.receive(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5,
+                                 false, to_cbor(message), protocol_number});
       world.run_until(world.now() + milliseconds(20));
     };
     Change change;
@@ -203,8 +203,8 @@
   const StorageNodeId identity = store.identity();
   const Roster roster{Version{1}, {Voter{identity, self, ZoneId("h")}, Voter{owner_id, owner, ZoneId("h")}}};
   auto deliver = [&](const auto& message) {
-    messenger.take(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5, false,
-                            to_cbor(message), protocol_number});
+    messenger.receive(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5, false,
+                               to_cbor(message), protocol_number});
     world.run_until(world.now() + milliseconds(20));
   };
   auto outcome = [&] {
@@ -254,7 +254,7 @@
     for (; !wire.requests.empty(); wire.requests.pop_front()) {
       const Envelope request = wire.requests.front();
       auto send_reply = [&](const auto& reply) {
-        messenger.take(
+        messenger.receive(
             Envelope{owner, 1, "store", "store", "reply", request.call, true, to_cbor(reply), protocol_number});
       };
       if (request.kind == Digests::kind) send_reply(DigestsReply{std::vector<std::uint64_t>(slot_count, 1)});
@@ -281,7 +281,7 @@
     PushUpdates updates;
     updates.items.push_back(ConfigurationUpdate{"zone/h", Stamp{Epoch{epoch}, Version{version}}, removed,
                                                 version % 2 == 0 ? R"({"evacuated":true})" : "{}"});
-    messenger.take(
+    messenger.receive(
         Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.spread", 0, false, to_cbor(updates), protocol_number});
   };
   auto evacuated = [&] {
@@ -312,8 +312,8 @@
   Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
   ConfigurationGossip gossip(messenger, shared_state, world.random, false);
-  messenger.take(Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.compare", 5, false, to_cbor(Compare{}),
-                          protocol_number + 1});
+  messenger.receive(Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.compare", 5, false, to_cbor(Compare{}),
+                             protocol_number + 1});
   REQUIRE(wire.sent.size() == 1);
   CHECK((wire.sent[0].reply && wire.sent[0].kind == "fault" && wire.sent[0].call == 5));
   CHECK(from_cbor<WireError>(wire.sent[0].body)->field == "protocol");
@@ -325,7 +325,7 @@
   refusal.from = Address("10.0.0.2:1");
   refusal.call = wire.sent.back().call;
   refusal.protocol = protocol_number + 1;
-  messenger.take(refusal);
+  messenger.receive(refusal);
   CHECK(error_field == "protocol");
 }
 
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -98,7 +98,7 @@
     shared_state.members.set(members);
     world.run_until(TimePoint{10000000});
     lease();
-    shared_state.gossip_tick = 0;
+    shared_state.last_gossip_tick = 0;
     router.start();
   }
   void lease() { shared_state.lease_until = (world.now() + std::chrono::hours(1)).microseconds; }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -176,8 +176,8 @@
   Fixture fixture;
   EXPECT_ATTEMPTS(fixture, 2);
   const std::map<std::string, RunnerTotal> full{{"one", {0, 3, 0}}, {"two", {0, 3, 0}}, {"three", {0, 1, 0}}};
-  fixture.messenger.take(Envelope{Address("10.0.0.2:1"), 1, "routes", "circle", "routes.totals", 0, false,
-                                  to_cbor(LoadTotals{"model", full}), protocol_number});
+  fixture.messenger.receive(Envelope{Address("10.0.0.2:1"), 1, "routes", "circle", "routes.totals", 0, false,
+                                     to_cbor(LoadTotals{"model", full}), protocol_number});
   std::vector<std::shared_ptr<Seen>> seen;
   for (int count = 0; count < 3; ++count) seen.push_back(fixture.submit("/pay"));
   for (const auto& attempt : fixture.attempts)
@@ -232,8 +232,8 @@
   CHECK(seen->status == 0);
   EXPECT_ATTEMPTS(fixture, 1);
   // The daemon has tried to renew its lease for over a second, and gossip ran all the time.
-  fixture.shared_state.lease_sought_since = fixture.world.now().microseconds - 1100000;
-  fixture.shared_state.gossip_tick = fixture.world.now().microseconds;
+  fixture.shared_state.lease_renewal_since = fixture.world.now().microseconds - 1100000;
+  fixture.shared_state.last_gossip_tick = fixture.world.now().microseconds;
   fixture.wait(std::chrono::milliseconds(100));
   CHECK(fixture.attempts.size() == 1);
 }
@@ -264,8 +264,8 @@
   fixture.lease();
   fixture.shared_state.lease_until = 5;
   // The renewal began long ago, but gossip has not run since: the process was suspended.
-  fixture.shared_state.lease_sought_since = 6;
-  fixture.shared_state.gossip_tick = 6;
+  fixture.shared_state.lease_renewal_since = 6;
+  fixture.shared_state.last_gossip_tick = 6;
   fixture.wait(std::chrono::seconds(2));
   auto seen = fixture.submit("/pay");
   fixture.wait(std::chrono::milliseconds(100));
@@ -376,7 +376,7 @@
     shared_state.members.set(members);
     shared_state.lease_until = INT64_MAX / 2;
     world.run_until(TimePoint{10000000});
-    shared_state.gossip_tick = world.now().microseconds;
+    shared_state.last_gossip_tick = world.now().microseconds;
     router.start();
   }
   ~DaemonWithConnectionLimit() { life->alive = false; }
@@ -391,13 +391,13 @@
   // Lets time pass while this daemon's configuration stays fresh.
   void advance(Duration span) {
     for (const TimePoint end = world.now() + span; world.now() < end;) {
-      shared_state.gossip_tick = world.now().microseconds;
+      shared_state.last_gossip_tick = world.now().microseconds;
       world.run_until(world.now() + std::chrono::milliseconds(10));
     }
   }
   void receive_totals() {
-    messenger.take(Envelope{Address("10.0.0.1:1"), 1, "routes", "circle", std::string(LoadTotals::kind), 0, false,
-                            to_cbor(LoadTotals{"model", {}}), protocol_number});
+    messenger.receive(Envelope{Address("10.0.0.1:1"), 1, "routes", "circle", std::string(LoadTotals::kind), 0, false,
+                               to_cbor(LoadTotals{"model", {}}), protocol_number});
   }
 };
 
