--- a/tests/circle_duty_test.cpp
+++ b/tests/circle_manager_test.cpp
@@ -96,7 +96,7 @@
   Members members;
   ConfigurationView view;
   std::uint64_t versions = 0;
-  CircleManager circle_duty{messenger, shared_state};
+  CircleManager circle_manager{messenger, shared_state};
 };
 
 const char* kind_with_reserve = R"({"circle":{"cycle":2000,"floor":2,"reserve":2,"ramp":500,"target":0.6}})";
@@ -106,7 +106,7 @@
 TEST_CASE("a circle created before any runner is known adds all runners except the reserve once they are known") {
   CircleFixture fixture;
   fixture.put("kind/model", kind_with_reserve);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(2), 0);
   CHECK(fixture.circle().members.empty());
   fixture.add_runners(5);
@@ -121,7 +121,7 @@
   CircleFixture fixture;
   fixture.put("kind/model", kind_with_reserve);
   fixture.add_runners(20);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(10), 1);
   const std::size_t size_with_load = fixture.circle().members.size();
   CHECK(size_with_load < 18);
@@ -137,7 +137,7 @@
   CircleFixture fixture;
   fixture.put("kind/model", kind_with_reserve);
   fixture.add_runners(20);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(6), 2);
   const auto members = fixture.circle().members;
   REQUIRE(!members.empty());
@@ -157,7 +157,7 @@
   fixture.put("kind/model", kind_with_reserve);
   for (const char* address : {"10.0.0.2:1", "10.0.0.3:1"}) fixture.add_member(address, false);
   fixture.add_runners(20);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(20), 1);
   CHECK(fixture.circle().members.size() < 12);
 }
@@ -167,7 +167,7 @@
   fixture.put("kind/model", R"({"circle":{"cycle":60000,"floor":2,"reserve":2,"ramp":500,"target":0.6}})");
   fixture.put("circle/model", R"({"members":["1","2","3","4"],"warm":["1","2","3","4"],"cycle":5,"law":4})");
   fixture.add_runners(60);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   std::size_t before = 4, after = 4;
   // 16 prompts run and 14 wait for 16 slots. At the target load of 0.6 these 30 prompts need 12 or 13 runners.
   for (int step = 0; step < 20 && after == 4; ++step) {
@@ -183,7 +183,7 @@
   fixture.put("kind/model", kind_with_reserve);
   for (int index = 2; index <= 6; ++index) fixture.add_member("10.0.0." + std::to_string(index) + ":1", index < 6);
   fixture.add_runners(4);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(2), 1);
   CHECK(fixture.circle().daemons == 5);
   for (int index = 3; index <= 6; ++index) fixture.members.all.erase(Address("10.0.0." + std::to_string(index) + ":1"));
@@ -199,7 +199,7 @@
   fixture.put("kind/model", R"({"connections":10,"circle":{"all":true}})");
   fixture.add_runners(2);
   fixture.add_member("10.0.0.2:1", true);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   auto report = [&](std::uint32_t first, std::uint32_t second) {
     LoadReport load;
     load.runners["1"].connections = first;
@@ -210,20 +210,20 @@
   };
   fixture.world.run_until(fixture.world.now() + seconds(1));
   report(5, 5);
-  CHECK(fixture.circle_duty.counts().connections_over_limit == 0);
+  CHECK(fixture.circle_manager.counts().connections_over_limit == 0);
   report(5, 6);
   report(6, 6);
-  CHECK(fixture.circle_duty.counts().connections_over_limit == 1);
+  CHECK(fixture.circle_manager.counts().connections_over_limit == 1);
   report(4, 5);
   report(9, 9);
-  CHECK(fixture.circle_duty.counts().connections_over_limit == 2);
+  CHECK(fixture.circle_manager.counts().connections_over_limit == 2);
 }
 
 TEST_CASE("lots get runners even if there are no more runners than the floor") {
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"cycle":2000,"floor":4,"reserve":4,"ramp":500,"target":0.6}})");
   fixture.add_runners(4);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(4), 1);
   CHECK(fixture.circle().members.size() == 4);
   for (int second = 0; second < 6; ++second) {
@@ -237,7 +237,7 @@
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"cycle":2000,"floor":2,"reserve":1,"ramp":500,"target":0.6}})");
   fixture.add_runners(6);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(6), 4);
   const auto run_without_prompts = [&fixture](int duration_seconds) {
     for (int second = 0; second < duration_seconds; ++second) {
@@ -254,7 +254,7 @@
   CircleFixture fixture;
   fixture.put("kind/model", R"({"circle":{"all":true,"ramp":1000}})");
   fixture.add_runners(2);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(3), 1);
   REQUIRE(fixture.circle().warm.size() == 2);
   LoadReport load;
@@ -271,7 +271,7 @@
   fixture.put("kind/model", R"({"circle":{"all":true,"ramp":1000}})");
   fixture.add_runners(2);
   for (int index = 2; index <= 9; ++index) fixture.add_member("10.0.0." + std::to_string(index) + ":1", true);
-  fixture.circle_duty.start();
+  fixture.circle_manager.start();
   fixture.run(seconds(3), 1);
   REQUIRE(fixture.circle().warm.size() == 2);
   const std::uint64_t before = fixture.circle().ramps.at("1");
@@ -301,7 +301,7 @@
   WaitingLotsFixture(const Bytes& kind, int runners) {
     put("kind/model", kind);
     add_runners(runners);
-    circle_duty.start();
+    circle_manager.start();
   }
   void run_with_waiting_lots(int seconds_to_run, std::uint32_t open_each) {
     for (int second = 0; second < seconds_to_run; ++second) {
