--- a/source/circle/membership.cpp
+++ b/source/circle/membership.cpp
@@ -118,7 +118,8 @@
       ++next.ramps[name];
     }
     const bool ramp_over = now - joined >= ramp && now - latest.announced >= ramp;
-    if (!recently_failed && !restarted && (before.bears(name, generation) || ramp_over)) next.warm.push_back(member);
+    if (!recently_failed && !restarted && (before.takes_full_share(name, generation) || ramp_over))
+      next.warm.push_back(member);
     if (generation > 0) next.generations[name] = generation;
   }
 }
--- a/source/configuration/resources.cpp
+++ b/source/configuration/resources.cpp
@@ -188,7 +188,7 @@
 
 }  // namespace
 
-bool Roster::seated(const StorageNodeId& holder) const {
+bool Roster::has_voter(const StorageNodeId& holder) const {
   for (const auto& voter : voters)
     if (voter.holder == holder) return true;
   return false;
@@ -198,7 +198,7 @@
   return std::find(members.begin(), members.end(), RunnerId(runner)) != members.end();
 }
 
-bool Circle::bears(const std::string& runner, std::uint64_t generation) const {
+bool Circle::takes_full_share(const std::string& runner, std::uint64_t generation) const {
   auto known = generations.find(runner);
   return std::find(warm.begin(), warm.end(), RunnerId(runner)) != warm.end() &&
          (known == generations.end() ? 0 : known->second) == generation;
@@ -277,8 +277,8 @@
 }
 }  // namespace
 
-bool put_in_view(ConfigurationView& view, StringView key, const Bytes* value, Stamp stamp,
-                 const ConfigurationFormat* format) {
+bool apply_to_view(ConfigurationView& view, StringView key, const Bytes* value, Stamp stamp,
+                   const ConfigurationFormat* format) {
   if (key == "roster" || key == lot_roster_key) {
     if (value == nullptr) return false;
     auto read = from_json<Roster>(*value);
--- a/source/configuration/resources.hpp
+++ b/source/configuration/resources.hpp
@@ -187,9 +187,9 @@
   MOTHWALK_FIELDS(members, warm, dark, generations, ramps, placers, term, daemons, load, law, error, cycle, reason)
   bool has(const std::string& runner) const;
   // Whether the runner is a member that also executes items of lots.
-  bool shares(const std::string& runner) const { return has(runner) && placers.contains(runner); }
+  bool takes_lot_items(const std::string& runner) const { return has(runner) && placers.contains(runner); }
   // Whether the runner may get its full share of requests: its ramp is over, and it was not restarted since.
-  bool bears(const std::string& runner, std::uint64_t generation) const;
+  bool takes_full_share(const std::string& runner, std::uint64_t generation) const;
 };
 
 // A storage node that votes when records are replicated.
@@ -213,11 +213,11 @@
   MOTHWALK_FIELDS_AS("version", version, "seats", voters)
   std::size_t majority() const { return voters.size() / 2 + 1; }
   // Whether the storage node is a voter.
-  bool seated(const StorageNodeId& holder) const;
+  bool has_voter(const StorageNodeId& holder) const;
 };
 
 // Limits on what clients may send and on how long their connections may be idle.
-struct CallerLimits {
+struct ClientLimits {
   std::uint64_t header_bytes = 16384, body_bytes = 16u << 20;
   Duration header_time = std::chrono::seconds(60), idle_time = std::chrono::seconds(60);
   MOTHWALK_FIELDS(header_bytes, body_bytes, header_time, idle_time)
@@ -234,7 +234,7 @@
 struct ConfigurationContent {
   std::map<std::string, Lane> lanes;
   std::map<std::string, Kind> kinds;
-  CallerLimits limits;
+  ClientLimits limits;
 };
 // Parses fleet configuration documents. The format of these documents is not known here.
 class ConfigurationFormat {
@@ -273,7 +273,7 @@
   Roster roster;      // The voters for control state, and for lots unless there is a roster of its own for these.
   Roster lot_roster;  // The voters for lots; empty where the voters for control state also store the lots.
   Named<FleetConfiguration> fleet;
-  CallerLimits limits;
+  ClientLimits limits;
   Stamp listing;             // The stamp of the runner list in use.
   std::uint64_t digest = 0;  // A hash of all keys and stamps; views with the same content have the same digest.
 
@@ -295,8 +295,8 @@
 
 // Stores a value under its key (such as "lane/audits") in the view, or removes the key where the value is null. Returns
 // false where the value can't be decoded or the key is unknown.
-bool put_in_view(ConfigurationView& view, StringView key, const Bytes* value, Stamp stamp,
-                 const ConfigurationFormat* format = nullptr);
+bool apply_to_view(ConfigurationView& view, StringView key, const Bytes* value, Stamp stamp,
+                   const ConfigurationFormat* format = nullptr);
 
 // Keys of records that exist once in the fleet.
 inline constexpr StringView configuration_key = "configuration/fleet";
--- a/source/control/configuration_orders.cpp
+++ b/source/control/configuration_orders.cpp
@@ -64,7 +64,7 @@
   // Revisions only rise, so an order with a number above the current revision was never applied.
   if (!base_is_current && identity.number > current.revision)
     return order->send_reply(revision_conflict(current.revision, identity.base));
-  const bool needs_history = !base_is_current || reply.entries >= OrderHistory::most_remembered;
+  const bool needs_history = !base_is_current || reply.entries >= OrderHistory::max_recorded;
   if (head_only && needs_history) return read(order, false);
   if (base_is_current) return make_next(order, reply, current);
   decide_by_history(order, reply, current.revision);
@@ -93,7 +93,7 @@
   change.head = to_cbor(FleetConfiguration{identity.number, std::move(std::get<Bytes>(next_document))});
   change.expected = exists ? reply.record.stamp.version.value : 0;
   change.token = identity.digest;
-  change.replaces_entries = reply.entries >= OrderHistory::most_remembered;
+  change.replaces_entries = reply.entries >= OrderHistory::max_recorded;
   change.appends = change.replaces_entries ? OrderHistory::compacted(reply.record.entries, identity)
                                            : std::vector<Bytes>{to_cbor(identity)};
   write(order, std::move(change));
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -139,12 +139,12 @@
   return parsed;
 }
 
-void Control::handle(ControlRequest request, ControlAnswer respond) {
+void Control::handle(ControlRequest request, ControlReplyCallback respond) {
   const auto target = parse_target(request.target);
   if (!target || target->parts.empty()) return respond(error_reply(unknown_call(request)));
   const auto& parts = target->parts;
   if (parts[0] == "lots") return handle_lots(request, *target, std::move(respond));
-  if (request.callers || parts[0] != "v1" || parts.size() < 2) return respond(error_reply(unknown_call(request)));
+  if (request.from_clients || parts[0] != "v1" || parts.size() < 2) return respond(error_reply(unknown_call(request)));
   if (parts[1] == "resources" && (parts.size() == 3 || parts.size() == 4))
     return handle_resources(request, *target, std::move(respond));
   if (request.method != "GET" || parts.size() != 2) return respond(error_reply(unknown_call(request)));
@@ -162,7 +162,7 @@
   respond(error_reply(unknown_call(request)));
 }
 
-void Control::handle_resources(const ControlRequest& request, const Target& target, ControlAnswer respond) {
+void Control::handle_resources(const ControlRequest& request, const Target& target, ControlReplyCallback respond) {
   const std::string& type = target.parts[2];
   if (!is_resource_type(type) && type != "circle") return respond(error_reply(unknown_type(type)));
   if (target.parts.size() == 3) {
@@ -190,7 +190,7 @@
 }
 
 void Control::put_resource(const std::string& type, const std::string& name, const ControlRequest& request,
-                           const Target& target, ControlAnswer respond, bool retry_once) {
+                           const Target& target, ControlReplyCallback respond, bool retry_once) {
   const auto configuration = shared_state_.configuration.get();
   auto checked = check_document(type, name, request.body, *configuration);
   if (auto error = error_of(checked)) {
@@ -218,7 +218,7 @@
 }
 
 void Control::delete_resource(const std::string& type, const std::string& name, const Target& target,
-                              ControlAnswer respond) {
+                              ControlReplyCallback respond) {
   const auto configuration = shared_state_.configuration.get();
   auto checked = check_removal(type, name, *configuration);
   if (auto error = error_of(checked)) return respond(error_reply(*error));
@@ -237,7 +237,7 @@
   write(std::move(change), std::move(respond));
 }
 
-void Control::write(Write change, ControlAnswer respond) {
+void Control::write(Write change, ControlReplyCallback respond) {
   change.token = self_.address.text + "/" + std::to_string(self_.incarnation) + "/" + std::to_string(random_.next());
   const std::string key = change.key;
   client_.write(std::move(change), write_timeout, [this, key, respond](Result<WriteReply> result) {
@@ -249,7 +249,8 @@
 
 // Delays the response until the change has arrived here by gossip, but not beyond the deadline, so that the next call
 // to this daemon sees the change.
-void Control::respond_when_applied(const std::string& key, Stamp stamp, TimePoint deadline, ControlAnswer respond) {
+void Control::respond_when_applied(const std::string& key, Stamp stamp, TimePoint deadline,
+                                   ControlReplyCallback respond) {
   const auto configuration = shared_state_.configuration.get();
   const auto slash = key.find('/');
   const std::string type = key.substr(0, slash), name = key.substr(slash + 1);
@@ -269,7 +270,7 @@
       false});
 }
 
-void Control::get_resource(const std::string& type, const std::string& name, ControlAnswer respond) {
+void Control::get_resource(const std::string& type, const std::string& name, ControlReplyCallback respond) {
   // Reads the record from its owner, which has it confirmed by a majority, and asks each member whether it has applied
   // that version.
   client_.read(type + "/" + name, milliseconds(3000), [this, type, name, respond](Result<ReadReply> result) {
@@ -298,7 +299,7 @@
     };
     for (const auto& [address, member] : members->all)
       messenger_.request(
-          address, Taken{type + "/" + name}, milliseconds(500),
+          address, AppliedStamp{type + "/" + name}, milliseconds(500),
           [progress, address = address, stamp = reply.record.stamp, finish](Result<AppliedStampReply> member_result) {
             auto* member_reply = std::get_if<AppliedStampReply>(&member_result);
             if (member_reply != nullptr && member_reply->found && member_reply->stamp >= stamp)
@@ -310,7 +311,7 @@
   });
 }
 
-void Control::watch(const Target& target, TimePoint deadline, ControlAnswer respond) {
+void Control::watch(const Target& target, TimePoint deadline, ControlReplyCallback respond) {
   const auto configuration = shared_state_.configuration.get();
   auto parameter = target.query.find("digest");
   if (parameter != target.query.end() && parameter->second == std::to_string(configuration->digest) &&
@@ -347,7 +348,7 @@
                                                                        : "static"},
                       {"holder", self_.holder.text},
                       {"stalled", shared_state_.stalled.load()},
-                      {"seated", configuration->roster.seated(self_.holder)},
+                      {"seated", configuration->roster.has_voter(self_.holder)},
                       {"slots", owned->slots.size()},
                       {"members", members->all.size()},
                       {"control", members->control_daemons},
@@ -369,7 +370,7 @@
   return text;
 }
 
-void Control::handle_lots(const ControlRequest& request, const Target& target, ControlAnswer respond) {
+void Control::handle_lots(const ControlRequest& request, const Target& target, ControlReplyCallback respond) {
   const auto& parts = target.parts;
   auto respond_with = [respond](auto result) {
     if (auto error = error_of(result)) return respond(error_reply(*error));
@@ -416,7 +417,7 @@
   respond(error_reply(unknown_call(request)));
 }
 
-void Control::list_lots(ControlAnswer respond) {
+void Control::list_lots(ControlReplyCallback respond) {
   const auto configuration = shared_state_.configuration.get();
   struct Collected {
     std::size_t replies_missing = 0;
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -11,7 +11,7 @@
 struct ControlRequest {
   std::string method, target;
   Bytes body;
-  bool callers = false;  // The request came in on the clients' address, where only the lot interface is available.
+  bool from_clients = false;  // The request came in on the clients' address, where only the lot interface is available.
   std::vector<Header> headers = {};
 };
 struct ControlReply {
@@ -23,7 +23,7 @@
   // Replaces the body where that is not JSON, or was not made by this program.
   std::optional<Bytes> raw = {};
 };
-using ControlAnswer = std::function<void(ControlReply)>;
+using ControlReplyCallback = std::function<void(ControlReply)>;
 
 // A page of a lot's results as clients receive it. A result body that is not text is encoded in base64, which the field
 // "encoding" states.
@@ -35,7 +35,7 @@
   // load_json returns the load of this daemon, which is the reply to /v1/load.
   Control(Messenger& messenger, SharedState& shared_state, RandomSource& random, Member self,
           std::function<json::value()> load_json);
-  void handle(ControlRequest request, ControlAnswer respond);
+  void handle(ControlRequest request, ControlReplyCallback respond);
 
  private:
   // The path segments and the query parameters of a request target.
@@ -44,20 +44,21 @@
     std::map<std::string, std::string> query;
   };
   static std::optional<Target> parse_target(StringView target);
-  void handle_resources(const ControlRequest& request, const Target& target, ControlAnswer respond);
+  void handle_resources(const ControlRequest& request, const Target& target, ControlReplyCallback respond);
   // With retry_once, an invalid document is checked a second time after a delay.
   void put_resource(const std::string& type, const std::string& name, const ControlRequest& request,
-                    const Target& target, ControlAnswer respond, bool retry_once);
-  void get_resource(const std::string& type, const std::string& name, ControlAnswer respond);
-  void delete_resource(const std::string& type, const std::string& name, const Target& target, ControlAnswer respond);
+                    const Target& target, ControlReplyCallback respond, bool retry_once);
+  void get_resource(const std::string& type, const std::string& name, ControlReplyCallback respond);
+  void delete_resource(const std::string& type, const std::string& name, const Target& target,
+                       ControlReplyCallback respond);
   // Sends the write to the owner of the record.
-  void write(Write write, ControlAnswer respond);
+  void write(Write write, ControlReplyCallback respond);
   // Responds to a write once this daemon has applied it, or at the deadline.
-  void respond_when_applied(const std::string& key, Stamp stamp, TimePoint deadline, ControlAnswer respond);
+  void respond_when_applied(const std::string& key, Stamp stamp, TimePoint deadline, ControlReplyCallback respond);
   // A long poll: responds once the configuration's digest differs from the one in the query, or at the deadline.
-  void watch(const Target& target, TimePoint deadline, ControlAnswer respond);
-  void handle_lots(const ControlRequest& request, const Target& target, ControlAnswer respond);
-  void list_lots(ControlAnswer respond);
+  void watch(const Target& target, TimePoint deadline, ControlReplyCallback respond);
+  void handle_lots(const ControlRequest& request, const Target& target, ControlReplyCallback respond);
+  void list_lots(ControlReplyCallback respond);
   json::value health_json() const;
   json::value list_resources(const std::string& type) const;
 
--- a/source/control/fleet_calls.cpp
+++ b/source/control/fleet_calls.cpp
@@ -52,7 +52,7 @@
   });
 }
 
-void FleetCalls::retired(const std::string& machine, Duration timeout, ReplyCallback<bool> send_reply) {
+void FleetCalls::retirement_complete(const std::string& machine, Duration timeout, ReplyCallback<bool> send_reply) {
   const Retirement query{std::string(lot_roster_key), {}, machine, false};
   client_.ask_owner<Retirement>(query.roster, query, messenger_.timers().now() + timeout, false,
                                 [send_reply](Result<RetirementReply> result) {
--- a/source/control/fleet_calls.hpp
+++ b/source/control/fleet_calls.hpp
@@ -25,7 +25,7 @@
   // (too few machines would remain), both decided by the confirmed owner of the lot roster; refused; unknown.
   void retire(const std::string& machine, Duration timeout, ReplyCallback<Success> send_reply);
   // Whether others store all that the machine stores, so that it may be removed together with its disk.
-  void retired(const std::string& machine, Duration timeout, ReplyCallback<bool> send_reply);
+  void retirement_complete(const std::string& machine, Duration timeout, ReplyCallback<bool> send_reply);
 
  private:
   void mark_retired(const Address& storage_node, TimePoint deadline, ReplyCallback<Success> send_reply);
--- a/source/control/order_history.cpp
+++ b/source/control/order_history.cpp
@@ -22,7 +22,7 @@
 }
 
 std::vector<Bytes> OrderHistory::compacted(const std::vector<Bytes>& entries, const OrderIdentity& order) {
-  const std::size_t kept_count = std::min(entries.size(), least_remembered - 1);
+  const std::size_t kept_count = std::min(entries.size(), min_recorded - 1);
   std::vector<Bytes> remaining(entries.end() - static_cast<std::ptrdiff_t>(kept_count), entries.end());
   remaining.push_back(to_cbor(order));
   return remaining;
--- a/source/control/order_history.hpp
+++ b/source/control/order_history.hpp
@@ -22,9 +22,9 @@
 class OrderHistory {
  public:
   // Operators send an order again until they get a definite reply, and there may be hundreds of orders a day. At least
-  // the last `least_remembered` orders are recorded at any time. When there are `most_remembered`, the oldest are
+  // the last `min_recorded` orders are recorded at any time. When there are `max_recorded`, the oldest are
   // dropped together.
-  static constexpr std::size_t least_remembered = 1024, most_remembered = 2048;
+  static constexpr std::size_t min_recorded = 1024, max_recorded = 2048;
 
   // Reads the entries of the configuration's record. The newest entry belongs to the current revision, and each entry
   // is based on the one before it. Entries before a gap in this chain are ignored: a gap is a change by an earlier
@@ -32,7 +32,7 @@
   OrderHistory(const std::vector<Bytes>& entries, std::uint64_t current);
   // Looks up an order that is not based on the current revision.
   OrderState find(const OrderIdentity& order) const;
-  // The entries to store when an order is applied while there are `most_remembered` entries: the newest of them, then
+  // The entries to store when an order is applied while there are `max_recorded` entries: the newest of them, then
   // the new order.
   static std::vector<Bytes> compacted(const std::vector<Bytes>& entries, const OrderIdentity& order);
 
--- a/source/gossip/configuration_gossip.cpp
+++ b/source/gossip/configuration_gossip.cpp
@@ -30,11 +30,12 @@
           if (auto found = items_.find(key); found != items_.end()) reply.items.push_back(found->second);
         send_reply(std::move(reply));
       });
-  messenger_.on_request<Taken>([this](const Address&, Taken query, ReplyCallback<AppliedStampReply> send_reply) {
-    auto found = items_.find(query.key);
-    if (found == items_.end()) return send_reply(AppliedStampReply{});
-    send_reply(AppliedStampReply{true, found->second.removed, found->second.stamp});
-  });
+  messenger_.on_request<AppliedStamp>(
+      [this](const Address&, AppliedStamp query, ReplyCallback<AppliedStampReply> send_reply) {
+        auto found = items_.find(query.key);
+        if (found == items_.end()) return send_reply(AppliedStampReply{});
+        send_reply(AppliedStampReply{true, found->second.removed, found->second.stamp});
+      });
 }
 
 void ConfigurationGossip::start() {
@@ -49,7 +50,7 @@
     if (found != items_.end() && item.stamp <= found->second.stamp) continue;
     if (found != items_.end()) view_.digest ^= item_hash(found->second);
     view_.digest ^= item_hash(item);
-    put_in_view(view_, item.key, item.removed ? nullptr : &item.value, item.stamp, format_);
+    apply_to_view(view_, item.key, item.removed ? nullptr : &item.value, item.stamp, format_);
     applied.push_back(item);
     items_[item.key] = std::move(item);
   }
--- a/source/gossip/configuration_gossip.hpp
+++ b/source/gossip/configuration_gossip.hpp
@@ -60,7 +60,7 @@
   MOTHWALK_FIELDS(found, removed, stamp)
 };
 // Asks for the stamp up to which the receiver has applied the updates of one key.
-struct Taken {
+struct AppliedStamp {
   static constexpr StringView kind = "news.taken";
   using Reply = AppliedStampReply;
   std::string key;
--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -128,7 +128,7 @@
                                        router_worker_.loop.random(), self_, dialect);
     http_server_ = std::make_unique<HttpServer>(
         router_worker_.loop.context(), *router_,
-        [this](ControlRequest request, ControlAnswer answer) {
+        [this](ControlRequest request, ControlReplyCallback answer) {
           return control_worker_.loop.offer([this, request = std::move(request), answer = std::move(answer)]() mutable {
             handle(std::move(request), std::move(answer));
           });
@@ -155,7 +155,7 @@
   return result;
 }
 
-void Daemon::handle(ControlRequest request, ControlAnswer answer) {
+void Daemon::handle(ControlRequest request, ControlReplyCallback answer) {
   if (platform_api_)
     platform_api_->handle(std::move(request), std::move(answer));
   else
--- a/source/host/http_server.cpp
+++ b/source/host/http_server.cpp
@@ -411,7 +411,7 @@
   tcp::socket socket_;
   std::uint64_t id_;
   bool client_side_, over_limit_;
-  CallerLimits limits_;
+  ClientLimits limits_;
   std::string input_;  // Its first `input_size_` bytes have been received and not parsed yet.
   std::size_t input_size_ = 0;
   std::optional<HttpReader<true>> reader_;
--- a/source/host/http_server.hpp
+++ b/source/host/http_server.hpp
@@ -24,7 +24,7 @@
  public:
   // Handles a request for the control API or for lots, and returns whether it took the request. It may reply from any
   // thread.
-  using ControlHandler = std::function<bool(ControlRequest, ControlAnswer)>;
+  using ControlHandler = std::function<bool(ControlRequest, ControlReplyCallback)>;
   // Returns whether a request from a client goes to the control handler instead of the router.
   using ControlRequestFilter =
       std::function<bool(StringView method, StringView target, const std::vector<Header>& headers)>;
--- a/source/lots/item_placer.cpp
+++ b/source/lots/item_placer.cpp
@@ -193,7 +193,7 @@
   if (runner.leaving || configuration.evacuated(runner.zone)) return false;
   auto circle = configuration.circles.find(runner.kind.text);
   if (circle == configuration.circles.end()) return false;
-  if (circle->second.spec.has(runner_name) && !circle->second.spec.shares(runner_name)) return false;
+  if (circle->second.spec.has(runner_name) && !circle->second.spec.takes_lot_items(runner_name)) return false;
   const auto& unreachable = circle->second.spec.dark;
   return std::find(unreachable.begin(), unreachable.end(), RunnerId(runner_name)) == unreachable.end();
 }
@@ -358,7 +358,7 @@
     if (state.fetching || now < state.next_fetch_at) continue;
     const auto term = appointed_term(*configuration, runner_name, runner);
     if (!term) continue;
-    const bool shared = configuration->circles.at(runner.kind.text).spec.shares(runner_name);
+    const bool shared = configuration->circles.at(runner.kind.text).spec.takes_lot_items(runner_name);
     const std::uint32_t free_slots = free_capacity(runner_name, runner, kind->second.spec, shared, state);
     // A runner that failed recently gets a single item as a probe.
     if (free_slots > 0 && (state.failures == 0 || state.open_items == 0))
--- a/source/operator/main.cpp
+++ b/source/operator/main.cpp
@@ -193,8 +193,8 @@
   ConfigurationView view;
   for (const auto& each : std::get<json::value>(reply).at("resources").as_array()) {
     const Bytes spec = json::serialize(each.at("spec"));
-    put_in_view(view, to_text(each.at("type")) + "/" + to_text(each.at("name")), &spec,
-                Stamp{Epoch{}, Version{each.at("version").to_number<std::uint64_t>()}});
+    apply_to_view(view, to_text(each.at("type")) + "/" + to_text(each.at("name")), &spec,
+                  Stamp{Epoch{}, Version{each.at("version").to_number<std::uint64_t>()}});
   }
   return view;
 }
--- a/source/operator/planner.cpp
+++ b/source/operator/planner.cpp
@@ -126,7 +126,7 @@
     else if (old_spec != document.canonical)
       result.changes.push_back(key + " would change from version " + std::to_string(current) + " " + old_spec + " to " +
                                document.canonical);
-    put_in_view(after, key, &document.canonical, Stamp{Epoch{}, Version{current + 1}});
+    apply_to_view(after, key, &document.canonical, Stamp{Epoch{}, Version{current + 1}});
   }
   for (const auto& [kind, settings] : after.kinds) {
     const UsableRunners usable_before = usable_runners(before, kind), usable_after = usable_runners(after, kind);
--- a/source/replication/replicated_store.cpp
+++ b/source/replication/replicated_store.cpp
@@ -106,7 +106,7 @@
   const bool stalled = shared_state_.stalled.load();
   if (roster_.voters.empty()) {
     if (!stores_only_lots() && durable_) first_start_ ? bootstrap_from_candidates() : bootstrap_from_seeds();
-  } else if (!stalled && now - started_ > milliseconds(1000) && roster_.seated(identity_)) {
+  } else if (!stalled && now - started_ > milliseconds(1000) && roster_.has_voter(identity_)) {
     const auto members = shared_state_.members.get();
     for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
       SlotOwnership& ownership = slot_ownership_[slot];
--- a/source/replication/roster_bootstrap.cpp
+++ b/source/replication/roster_bootstrap.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 void ReplicatedStore::on_found_roster(FoundRoster found, ReplyCallback<IdentifyReply> respond) {
-  if (!stores_only_lots() && roster_.voters.empty() && found.roster.seated(identity_)) {
+  if (!stores_only_lots() && roster_.voters.empty() && found.roster.has_voter(identity_)) {
     roster_ = found.roster;
     publish_voters();
     return append_to_log(DiskEntry{.what = "roster", .roster = roster_}, [this, respond] {
--- a/source/replication/roster_changes.cpp
+++ b/source/replication/roster_changes.cpp
@@ -127,9 +127,9 @@
   std::vector<const Member*> list;
   for (const auto& [address, member] : members.all) {
     if (member.holder.empty() || member.keeps != keeps) continue;
-    const bool seated = current.seated(member.holder);
+    const bool is_voter = current.has_voter(member.holder);
     *newest = std::max(*newest, observations.first_seen.try_emplace(member.holder, now).first->second);
-    if (!seated && !member.stalled && !retired(address)) list.push_back(&member);
+    if (!is_voter && !member.stalled && !retired(address)) list.push_back(&member);
   }
   std::sort(list.begin(), list.end(), [&](const Member* left_member, const Member* right_member) {
     return std::make_tuple(voters_in_zone[left_member->zone], left_member->address) <
--- a/source/replication/writes.cpp
+++ b/source/replication/writes.cpp
@@ -129,15 +129,15 @@
   acks->new_roster = new_roster;
   std::vector<Voter> voters = roster_.voters;
   for (const auto& voter : new_roster.voters)
-    if (!roster_.seated(voter.holder)) voters.push_back(voter);
+    if (!roster_.has_voter(voter.holder)) voters.push_back(voter);
   acks->outstanding = voters.size();
   const Epoch epoch = slot_ownership_[slot].epoch;
   auto on_voter_done = [this, acks, slot, epoch, done](const Voter& voter, bool succeeded) {
     --acks->outstanding;
     if (acks->finished) return;
     if (succeeded) {
-      acks->old_acks += acks->old_roster.seated(voter.holder);
-      acks->new_acks += acks->new_roster.seated(voter.holder);
+      acks->old_acks += acks->old_roster.has_voter(voter.holder);
+      acks->new_acks += acks->new_roster.has_voter(voter.holder);
     }
     const bool enough = acks->old_acks >= acks->old_roster.majority() &&
                         (acks->new_roster.voters.empty() || acks->new_acks >= acks->new_roster.majority());
--- a/source/routes/router.hpp
+++ b/source/routes/router.hpp
@@ -68,7 +68,7 @@
   void gone(Id id);
   std::size_t open() const { return requests_.size(); }
   const RouterCounts& counts() const { return counts_; }
-  CallerLimits limits() const { return shared_state_.configuration.get()->limits; }
+  ClientLimits limits() const { return shared_state_.configuration.get()->limits; }
   bool draining() const { return shared_state_.draining; }
   // Distributes requests round-robin over all runners and ignores the circle. For benchmarks only.
   void even_over_all(bool enabled) { runner_table_.round_robin_all = enabled; }
--- a/source/routes/runner_table.cpp
+++ b/source/routes/runner_table.cpp
@@ -154,7 +154,7 @@
   const Kind& kind = context.kind;
   const Circle* circle = context.circle;
   const TimePoint now = context.now;
-  const bool warm = circle == nullptr || circle->bears(name, runner.generation);
+  const bool warm = circle == nullptr || circle->takes_full_share(name, runner.generation);
   RunnerState& runner_state = states_[name];
   if (now < runner_state.not_before) return runner_state.failures > 0 ? BlockReason::failing : BlockReason::resting;
   if (runner_state.failures > 0 && runner_state.open > 0) return BlockReason::failing;
@@ -430,7 +430,7 @@
     const bool usable = !runner->second.spec.leaving && !configuration.evacuated(runner->second.spec.zone) &&
                         runner_state.failures == 0 && now >= runner_state.not_before && now >= runner_state.cold_until;
     const bool warm =
-        circle->second.spec.bears(member.text, runner->second.spec.generation) && !runner_state.recovering;
+        circle->second.spec.takes_full_share(member.text, runner->second.spec.generation) && !runner_state.recovering;
     const bool ramp_over = runner_state.ramp_since && now - *runner_state.ramp_since >= ramp + slack;
     if (usable && (warm || ramp_over) && runner_state.in_progress() == 0 &&
         now - runner_state.load_updated < max_load_age)
--- a/source/simulate/faults.cpp
+++ b/source/simulate/faults.cpp
@@ -164,7 +164,8 @@
   const auto& circle = configuration->circles.at("model").spec;
   RunnerModel* runner = nullptr;
   for (auto& each : cluster.runners)
-    if (each->kind == "model" && circle.bears(each->name, configuration->runners.at(each->name).spec.generation) &&
+    if (each->kind == "model" &&
+        circle.takes_full_share(each->name, configuration->runners.at(each->name).spec.generation) &&
         each->active >= (announced ? 0u : 1u) && (runner == nullptr || each->active < runner->active))
       runner = each.get();
   if (runner == nullptr) return cluster.world.log_event("no runner fits");
--- a/source/simulate/loss_scenarios.cpp
+++ b/source/simulate/loss_scenarios.cpp
@@ -62,7 +62,7 @@
   std::vector<Machine*> list = group_members(run);
   std::sort(list.begin(), list.end(), [&](Machine* left, Machine* right) {
     auto rank = [&](Machine* machine) {
-      const bool voting = machine->kept() != nullptr && roster.seated(machine->kept()->identity());
+      const bool voting = machine->kept() != nullptr && roster.has_voter(machine->kept()->identity());
       return std::make_pair(run.tolerance.machines_at_once > 1 && !voting, run.disk_since.at(machine));
     };
     return rank(left) < rank(right);
--- a/tests/circle_manager_test.cpp
+++ b/tests/circle_manager_test.cpp
@@ -35,7 +35,7 @@
     shared_state.members.set(members);
   }
   void put(const std::string& key, const Bytes& value) {
-    REQUIRE(put_in_view(view, key, &value, Stamp{Epoch{1}, Version{++versions}}));
+    REQUIRE(apply_to_view(view, key, &value, Stamp{Epoch{1}, Version{++versions}}));
     shared_state.configuration.set(view);
   }
   void add_runners(int count) {
@@ -310,8 +310,9 @@
     }
   }
   std::size_t shared_members() const {
-    return static_cast<std::size_t>(std::count_if(circle().members.begin(), circle().members.end(),
-                                                  [&](const RunnerId& name) { return circle().shares(name.text); }));
+    return static_cast<std::size_t>(
+        std::count_if(circle().members.begin(), circle().members.end(),
+                      [&](const RunnerId& name) { return circle().takes_lot_items(name.text); }));
   }
 };
 
--- a/tests/circle_test.cpp
+++ b/tests/circle_test.cpp
@@ -61,7 +61,7 @@
   ConfigurationView view;
   for (const char* name : {"one", "two", "three"}) {
     const Bytes spec = R"({"kind":"model","address":"10.0.0.1:80","zone":"h","slots":4})";
-    REQUIRE(put_in_view(view, std::string("runner/") + name, &spec, Stamp{}));
+    REQUIRE(apply_to_view(view, std::string("runner/") + name, &spec, Stamp{}));
   }
   const std::map<std::string, std::uint32_t> open{{"one", 2}, {"two", 2}, {"three", 4}};
   CHECK(relative_load(open, 0, {RunnerId("one"), RunnerId("two")}, view.runners) == Approx(0.5));
--- a/tests/coding_test.cpp
+++ b/tests/coding_test.cpp
@@ -89,7 +89,7 @@
   const ConfigurationView empty;
   ConfigurationView view;
   const Bytes kind = R"({})";
-  REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
+  REQUIRE(apply_to_view(view, "kind/model", &kind, Stamp{}));
   struct InvalidDocument {
     std::string type, name, text, field;
   };
@@ -135,13 +135,13 @@
   ConfigurationView view;
   const Bytes kind = "{}", runner = R"({"kind":"model","address":"10.0.0.1:80","zone":"north"})",
               lane = R"({"path":"/a","kind":"model"})";
-  REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
-  REQUIRE(put_in_view(view, "runner/one", &runner, Stamp{}));
+  REQUIRE(apply_to_view(view, "kind/model", &kind, Stamp{}));
+  REQUIRE(apply_to_view(view, "runner/one", &runner, Stamp{}));
   CHECK(error_of(check_document("zone", "north", R"({"evacuated":true})", view))->kind == ErrorKind::conflict);
   CHECK(error_of(check_document("zone", "south", R"({"evacuated":true})", view)) == nullptr);
   CHECK(error_of(check_removal("kind", "model", view))->kind == ErrorKind::conflict);
-  REQUIRE(put_in_view(view, "lane/a", &lane, Stamp{}));
-  REQUIRE(put_in_view(view, "runner/one", nullptr, Stamp{}));
+  REQUIRE(apply_to_view(view, "lane/a", &lane, Stamp{}));
+  REQUIRE(apply_to_view(view, "runner/one", nullptr, Stamp{}));
   CHECK(error_of(check_removal("kind", "model", view))->message.find("lane 'a'") != std::string::npos);
 }
 
@@ -154,7 +154,7 @@
   view.roster.voters.push_back(Voter{StorageNodeId("x"), Address("10.0.0.4:1"), ZoneId("h")});
   CHECK(error_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view)) == nullptr);
   const Bytes retired = R"({"retired":true})";
-  REQUIRE(put_in_view(view, "holder/10.0.0.4:1", &retired, Stamp{}));
+  REQUIRE(apply_to_view(view, "holder/10.0.0.4:1", &retired, Stamp{}));
   CHECK(error_of(check_document("holder", "10.0.0.1:1", R"({"retired":true})", view)) != nullptr);
 }
 
@@ -180,7 +180,7 @@
   for (auto [key, value] : {std::pair<const char*, const char*>{"lane/a", R"({"path":"/a","kind":"k"})"},
                             {"lane/ab", R"({"path":"/a/b","kind":"k"})"}}) {
     const Bytes bytes = value;
-    REQUIRE(put_in_view(view, key, &bytes, Stamp{}));
+    REQUIRE(apply_to_view(view, key, &bytes, Stamp{}));
   }
   std::string name;
   REQUIRE(view.lane_for("/a/b/c", &name));
@@ -193,8 +193,8 @@
 TEST_CASE("a runner's generation never decreases, and one that the circle does not know makes the runner cold") {
   ConfigurationView view;
   const Bytes kind = "{}", spec = R"({"kind":"model","address":"10.0.0.1:80","zone":"h","generation":4})";
-  REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
-  REQUIRE(put_in_view(view, "runner/one", &spec, Stamp{}));
+  REQUIRE(apply_to_view(view, "kind/model", &kind, Stamp{}));
+  REQUIRE(apply_to_view(view, "runner/one", &spec, Stamp{}));
   const auto lower_generation =
       check_document("runner", "one", R"({"kind":"model","address":"10.0.0.1:80","zone":"h","generation":3})", view);
   REQUIRE(error_of(lower_generation) != nullptr);
@@ -202,10 +202,10 @@
   CHECK(error_of(check_document("runner", "one", spec, view)) == nullptr);
   Circle circle;
   circle.members = circle.warm = {RunnerId("one")};
-  CHECK(circle.bears("one", 0));
-  CHECK_FALSE(circle.bears("one", 4));
+  CHECK(circle.takes_full_share("one", 0));
+  CHECK_FALSE(circle.takes_full_share("one", 4));
   circle.generations["one"] = 4;
-  CHECK(circle.bears("one", 4));
+  CHECK(circle.takes_full_share("one", 4));
 }
 
 TEST_CASE("a result that is not text is listed completely, in base64") {
@@ -227,8 +227,8 @@
 TEST_CASE("an aim names an existing lane and valid fractions, and its lane cannot be removed") {
   ConfigurationView view;
   const Bytes kind = "{}", lane = R"({"path":"/pay","kind":"model"})", aim = R"({"lane":"pay"})";
-  REQUIRE(put_in_view(view, "kind/model", &kind, Stamp{}));
-  REQUIRE(put_in_view(view, "lane/pay", &lane, Stamp{}));
+  REQUIRE(apply_to_view(view, "kind/model", &kind, Stamp{}));
+  REQUIRE(apply_to_view(view, "lane/pay", &lane, Stamp{}));
   for (const auto& [text, field] : {std::pair<StringView, StringView>{R"({"lane":"none"})", "lane"},
                                     {R"({"lane":"pay","answered":1.1})", "answered"},
                                     {R"({"lane":"pay","in_time":0})", "in_time"},
@@ -239,6 +239,6 @@
   }
   CHECK(error_of(check_document("aim", "swift", aim, view)) == nullptr);
   CHECK(error_of(check_removal("lane", "pay", view)) == nullptr);
-  REQUIRE(put_in_view(view, "aim/swift", &aim, Stamp{}));
+  REQUIRE(apply_to_view(view, "aim/swift", &aim, Stamp{}));
   CHECK(error_of(check_removal("lane", "pay", view)) != nullptr);
 }
--- a/tests/dialect_router_test.cpp
+++ b/tests/dialect_router_test.cpp
@@ -93,7 +93,7 @@
   fixture.put("runner/four", R"({"kind":"other","address":"10.0.1.9:80","zone":"north","slots":2})");
   fixture.put("circle/other", R"({"members":["four"],"warm":["four"]})");
   const Bytes lane = R"({"path":"/pay","kind":"other"})";
-  REQUIRE(put_in_view(fixture.view, "lane/pay", &lane, Stamp{Epoch{1}, Version{2}}));
+  REQUIRE(apply_to_view(fixture.view, "lane/pay", &lane, Stamp{Epoch{1}, Version{2}}));
   fixture.shared_state.configuration.set(fixture.view);
   EXPECT_ATTEMPTS(fixture, 1);
   fixture.lease();
@@ -272,7 +272,7 @@
       listing.runners[name] = runner;
     }
     const Bytes listed = to_cbor(listing);
-    REQUIRE(put_in_view(fixture.view, listing_key, &listed, Stamp{Epoch{1}, Version{1}}));
+    REQUIRE(apply_to_view(fixture.view, listing_key, &listed, Stamp{Epoch{1}, Version{1}}));
     fixture.put("circle/model", R"({"members":["cold","warm"],"warm":["cold","warm"]})");
     ALLOW_CALL(fixture.runner_client, start(_, _))
         .LR_SIDE_EFFECT(fixture.attempts.push_back({_1, _2}))
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -159,14 +159,14 @@
         return lots ? configuration->lot_roster : configuration->roster;
       };
       const StorageNodeId before = machine.kept()->identity();
-      REQUIRE(roster().seated(before));
+      REQUIRE(roster().has_voter(before));
       machine.kill(true);
       const bool on_new_machine = number % 2 == 0;
       world.run_until(world.now() + seconds(2));
       Machine& replacement = on_new_machine ? cluster.add_machine("north", machine.keeps) : machine;
       replacement.start();
       const TimePoint returned = world.now();
-      while ((roster().seated(before) || !roster().seated(replacement.kept()->identity())) &&
+      while ((roster().has_voter(before) || !roster().has_voter(replacement.kept()->identity())) &&
              world.now() - returned < seconds(10))
         world.run_until(world.now() + milliseconds(50));
       CHECK(world.now() - returned < milliseconds(3500));
--- a/tests/fuzz/peer_messages.hpp
+++ b/tests/fuzz/peer_messages.hpp
@@ -15,8 +15,8 @@
 struct MessageTypes {};
 
 using PeerMessages =
-    MessageTypes<Heartbeat, SessionExchange, Introduction, PushUpdates, Compare, FetchUpdates, Taken, Write, Read,
-                 ListSlot, ConfirmSlot, Promise, Store, Copies, Install, Confirm, RosterUpdate, IdentifyRequest,
+    MessageTypes<Heartbeat, SessionExchange, Introduction, PushUpdates, Compare, FetchUpdates, AppliedStamp, Write,
+                 Read, ListSlot, ConfirmSlot, Promise, Store, Copies, Install, Confirm, RosterUpdate, IdentifyRequest,
                  FoundRoster, SyncStatus, Retirement, Digests, Range, FetchRecords, SubmitLot, CancelLot, ReadLot,
                  ReadItem, ListLots, PendingItems, KindPending, FetchItems, AskHeld, AskSlot, StopLot, FinishItems,
                  LoadReport, LoadTotals, PlacerTotals, ReportCandidate, AskWord>;
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -78,7 +78,7 @@
   Router router{messenger, shared_state, runner_client, world.random, Member{}};
   HttpServer server(
       context, router,
-      [](ControlRequest, ControlAnswer answer) {
+      [](ControlRequest, ControlReplyCallback answer) {
         return answer(ControlReply{200, json::object{{"good", true}}, false}), true;
       },
       1);
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -42,7 +42,7 @@
   explicit Fixture(HttpServer::ControlRequestFilter is_control_request = {})
       : server(
             context, router,
-            [this](ControlRequest request, ControlAnswer answer) {
+            [this](ControlRequest request, ControlReplyCallback answer) {
               control_requests.push_back(std::move(request));
               answer(reply);
               return true;
@@ -61,7 +61,7 @@
     router.start();
   }
   void put(const std::string& key, const Bytes& value) {
-    REQUIRE(put_in_view(view, key, &value, Stamp{}));
+    REQUIRE(apply_to_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   void run(const std::function<bool()>& condition) {
@@ -312,7 +312,7 @@
          text.find("Content-Length: 4\r\n") != std::string::npos));
   CHECK((text.find("Retry-After: 0.25\r\n") != std::string::npos && text.find("Retry-After: 1") == std::string::npos));
   REQUIRE(fixture.control_requests.size() == 1);
-  CHECK((fixture.control_requests[0].body == "{}" && fixture.control_requests[0].callers &&
+  CHECK((fixture.control_requests[0].body == "{}" && fixture.control_requests[0].from_clients &&
          header_of(fixture.control_requests[0].headers, "Id") != nullptr));
   auto live = fixture.send_from_client(get_request);
   fixture.read_until(*std::make_unique<tcp::socket>(fixture.accept_at_runner()), "\r\n\r\n");
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -387,7 +387,7 @@
     SharedState shared_state;
     ConfigurationView view;
     const Bytes roster = R"({"version":1,"seats":[{"holder":"holder","address":"10.0.0.2:1","zone":"h"}]})";
-    REQUIRE(put_in_view(view, "roster", &roster, Stamp{}));
+    REQUIRE(apply_to_view(view, "roster", &roster, Stamp{}));
     shared_state.configuration.set(view);
     Members members;
     members.all[owner].address = owner;
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -63,7 +63,7 @@
   }
   ~OwnerFixture() override { incarnation->alive = false; }
   void put(const std::string& key, const Bytes& value) {
-    REQUIRE(put_in_view(view, key, &value, Stamp{}));
+    REQUIRE(apply_to_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   void send(const Address& to, Envelope envelope) override {
@@ -270,7 +270,7 @@
   }
   ~PlacerFixture() override { incarnation->alive = false; }
   void put(const std::string& key, const Bytes& value) {
-    REQUIRE(put_in_view(view, key, &value, Stamp{}));
+    REQUIRE(apply_to_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   // Lets a second pass and then refreshes the load totals.
--- a/tests/lots_test.cpp
+++ b/tests/lots_test.cpp
@@ -84,7 +84,7 @@
   // The configuration may name a newer placer than any fetch so far.
   ConfigurationView view;
   const Bytes circle = R"({"placers":{"model-1":{"address":"10.0.0.2:1","incarnation":5,"term":7}},"term":7})";
-  REQUIRE(put_in_view(view, "circle/model", &circle, Stamp{}));
+  REQUIRE(apply_to_view(view, "circle/model", &circle, Stamp{}));
   shared_state.configuration.set(view);
   CHECK(fetch(new_placer, 4) == "fault");
   CHECK(fetch(old_placer, 7) == "reply");
--- a/tests/order_history_test.cpp
+++ b/tests/order_history_test.cpp
@@ -47,10 +47,10 @@
 }
 
 TEST_CASE("order history: compaction keeps the newest orders, and a digest covers the complete content") {
-  const auto entries = chain(0, OrderHistory::most_remembered);
-  const std::uint64_t current = 2 * OrderHistory::most_remembered;
+  const auto entries = chain(0, OrderHistory::max_recorded);
+  const std::uint64_t current = 2 * OrderHistory::max_recorded;
   const auto kept = OrderHistory::compacted(entries, order(current, current + 1));
-  CHECK(kept.size() == OrderHistory::least_remembered);
+  CHECK(kept.size() == OrderHistory::min_recorded);
   const OrderHistory history(kept, current + 1);
   CHECK(history.find(order(current, current + 1)) == OrderState::applied);
   CHECK(history.find(order(current - 2, current)) == OrderState::applied);
--- a/tests/platform_orders_test.cpp
+++ b/tests/platform_orders_test.cpp
@@ -42,13 +42,13 @@
     "[orders]") {
   OperatorCluster operators(27);
   REQUIRE(start_and_wait(operators.cluster));
-  constexpr std::uint64_t changes = OrderHistory::most_remembered + 10;
+  constexpr std::uint64_t changes = OrderHistory::max_recorded + 10;
   Machine& machine = *operators.cluster.machines[0];
   for (std::uint64_t number = 1; number <= changes; ++number)
     REQUIRE(operators.apis.call(machine, replace_request(number - 1, number, "first")).status == 200);
   CHECK(operators.status(replace_request(0, 1, "first")) == 504);
   CHECK(operators.status(replace_request(0, 1, "other")) == 504);
-  const std::uint64_t oldest_kept = changes - OrderHistory::least_remembered + 1;
+  const std::uint64_t oldest_kept = changes - OrderHistory::min_recorded + 1;
   CHECK(operators.status(replace_request(oldest_kept - 1, oldest_kept, "first")) == 200);
   CHECK(operators.status(replace_request(oldest_kept - 1, oldest_kept, "other")) == 412);
   std::uint64_t entries = 0;
@@ -56,8 +56,8 @@
       std::string(configuration_key), seconds(2),
       [&](Result<ReadReply> result) { entries = std::get<ReadReply>(result).entries; }, true);
   operators.world.run_until(operators.world.now() + seconds(2));
-  CHECK(entries >= OrderHistory::least_remembered);
-  CHECK(entries < OrderHistory::most_remembered);
+  CHECK(entries >= OrderHistory::min_recorded);
+  CHECK(entries < OrderHistory::max_recorded);
 }
 
 TEST_CASE("operator calls: of two different changes with one revision and base, one is confirmed and the other refused",
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -44,7 +44,7 @@
   CHECK(accepted == 260);
   CHECK(most >= 200);
   for (Machine* storage_node : cluster.holders())
-    if (cluster.any_alive().shared_state().configuration.get()->roster.seated(storage_node->kept()->identity()))
+    if (cluster.any_alive().shared_state().configuration.get()->roster.has_voter(storage_node->kept()->identity()))
       CHECK(storage_node->kept()->removed_lots() < 100);
   int reused_status = 0;
   cluster.control(
@@ -373,7 +373,7 @@
   first->kill(true);
   first->start();
   world.run_until(world.now() + seconds(6));
-  CHECK(cluster.any_alive().shared_state().configuration.get()->lot_roster.seated(first->kept()->identity()));
+  CHECK(cluster.any_alive().shared_state().configuration.get()->lot_roster.has_voter(first->kept()->identity()));
   CHECK(bytes() - at_wipe > 3600000);
   CHECK(bytes() - at_wipe < 9000000);
   CHECK(cluster.longest_message < 1400000);
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -80,7 +80,7 @@
   ConfigurationView view;
   // Puts a resource, given as JSON, into the router's configuration.
   void put(const std::string& key, const Bytes& value) {
-    REQUIRE(put_in_view(view, key, &value, Stamp{}));
+    REQUIRE(apply_to_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   explicit Fixture(const Dialect& dialect = plain_dialect())
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -297,7 +297,7 @@
                               {"runner/one", R"({"kind":"model","address":"10.0.1.1:80","zone":"north","slots":16})"},
                               {"circle/model", R"({"members":["one"],"warm":[]})"}}) {
       const Bytes bytes = value;
-      REQUIRE(put_in_view(view, key, &bytes, Stamp{}));
+      REQUIRE(apply_to_view(view, key, &bytes, Stamp{}));
     }
     shared_state.configuration.set(view);
     Members members;
@@ -365,7 +365,7 @@
                               {"runner/two", R"({"kind":"model","address":"10.0.1.2:80","zone":"south","slots":2})"},
                               {"circle/model", R"({"members":["one","two"],"warm":["one","two"]})"}}) {
       const Bytes bytes = value;
-      REQUIRE(put_in_view(view, key, &bytes, Stamp{}));
+      REQUIRE(apply_to_view(view, key, &bytes, Stamp{}));
     }
     shared_state.configuration.set(view);
     Members members;
@@ -381,7 +381,7 @@
   }
   ~DaemonWithConnectionLimit() { life->alive = false; }
   void put_kind(const Bytes& value) {
-    REQUIRE(put_in_view(view, "kind/model", &value, Stamp{}));
+    REQUIRE(apply_to_view(view, "kind/model", &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   Router::Id submit() {
--- a/tests/stream_router_test.cpp
+++ b/tests/stream_router_test.cpp
@@ -19,7 +19,7 @@
     attempts[1].watcher->on_end(AttemptOutcome::broken);
   }
   void remove(const std::string& key) {
-    REQUIRE(put_in_view(view, key, nullptr, Stamp{}));
+    REQUIRE(apply_to_view(view, key, nullptr, Stamp{}));
     shared_state.configuration.set(view);
   }
   std::unique_ptr<trompeloeil::expectation> sending = NAMED_ALLOW_CALL(runner_client, start(_, _))
