--- a/source/control/fleet_calls.cpp
+++ b/source/control/fleet_calls.cpp
@@ -39,7 +39,7 @@
                               "add a machine first"});
     mark_retired(reply.holder, deadline, send_reply);
   };
-  client_.ask_owner<Retirement>(query.roster, query, deadline, false, on_reply);
+  client_.request_owner<Retirement>(query.roster, query, deadline, false, on_reply);
 }
 
 void FleetCalls::mark_retired(const Address& storage_node, TimePoint deadline, ReplyCallback<Success> send_reply) {
@@ -54,11 +54,11 @@
 
 void FleetCalls::retirement_complete(const std::string& machine, Duration timeout, ReplyCallback<bool> send_reply) {
   const Retirement query{std::string(lot_roster_key), {}, machine, false};
-  client_.ask_owner<Retirement>(query.roster, query, messenger_.timers().now() + timeout, false,
-                                [send_reply](Result<RetirementReply> result) {
-                                  if (auto error = error_of(result)) return send_reply(*error);
-                                  send_reply(std::get<RetirementReply>(result).complete);
-                                });
+  client_.request_owner<Retirement>(query.roster, query, messenger_.timers().now() + timeout, false,
+                                    [send_reply](Result<RetirementReply> result) {
+                                      if (auto error = error_of(result)) return send_reply(*error);
+                                      send_reply(std::get<RetirementReply>(result).complete);
+                                    });
 }
 
 }  // namespace mothwalk
--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -69,8 +69,9 @@
   make_messenger(gossip_worker_, "news");
   make_messenger(control_worker_, "control");
   if (settings_.first_start) {
-    make_messenger(founding_worker_, "founding");
-    founding_ = std::make_unique<Founding>(*founding_worker_.messenger, shared_state_, *settings_.first_start);
+    make_messenger(roster_bootstrap_worker_, "founding");
+    roster_bootstrap_ =
+        std::make_unique<RosterBootstrap>(*roster_bootstrap_worker_.messenger, shared_state_, *settings_.first_start);
   }
   if (has_data_folder) {
     make_messenger(store_worker_, "store");
--- a/source/host/daemon.hpp
+++ b/source/host/daemon.hpp
@@ -59,17 +59,17 @@
       store_worker_{"store", shared_context_}, circle_worker_{"circle", shared_context_},
       lots_worker_{"lots", shared_context_}, placing_worker_{"placing", shared_context_},
       router_worker_{"routes", shared_context_}, control_worker_{"control", shared_context_},
-      listing_worker_{"listing", shared_context_}, founding_worker_{"founding", shared_context_};
-  const std::vector<Worker*> workers_{&sessions_worker_, &gossip_worker_,  &store_worker_,  &circle_worker_,
-                                      &lots_worker_,     &placing_worker_, &router_worker_, &control_worker_,
-                                      &listing_worker_,  &founding_worker_};
+      listing_worker_{"listing", shared_context_}, roster_bootstrap_worker_{"founding", shared_context_};
+  const std::vector<Worker*> workers_{&sessions_worker_, &gossip_worker_,          &store_worker_,  &circle_worker_,
+                                      &lots_worker_,     &placing_worker_,         &router_worker_, &control_worker_,
+                                      &listing_worker_,  &roster_bootstrap_worker_};
   std::unique_ptr<FileDisk> disk_;
   std::unique_ptr<BeastRunnerClient> live_runner_client_, lot_runner_client_, list_runner_client_;
   std::unique_ptr<ListSource> list_source_;
   std::unique_ptr<RunnerList> runner_list_;
   std::unique_ptr<Sessions> sessions_;
   std::unique_ptr<ConfigurationGossip> gossip_;
-  std::unique_ptr<Founding> founding_;
+  std::unique_ptr<RosterBootstrap> roster_bootstrap_;
   std::unique_ptr<ReplicatedStore> store_;
   std::unique_ptr<CircleManager> circle_;
   std::unique_ptr<Lots> lots_;
--- a/source/replication/founding.cpp
+++ b/source/replication/founding.cpp
@@ -3,7 +3,7 @@
 
 namespace mothwalk {
 
-Founding::Founding(Messenger& messenger, SharedState& shared_state, bool first_start)
+RosterBootstrap::RosterBootstrap(Messenger& messenger, SharedState& shared_state, bool first_start)
     : shared_state_(shared_state), first_start_(first_start) {
   messenger.on_request<ReportCandidate>(
       [this](const Address& from, ReportCandidate report, ReplyCallback<ReportReply> respond) {
@@ -18,14 +18,14 @@
         for (const auto& [node, voter] : candidates_) reply.candidates.push_back(voter);
         respond(std::move(reply));
       });
-  messenger.on_request<AskWord>([this](const Address&, AskWord request, ReplyCallback<WordReply> respond) {
+  messenger.on_request<VoteRequest>([this](const Address&, VoteRequest request, ReplyCallback<VoteReply> respond) {
     const bool granted = first_start_ && !request.roster.voters.empty() && (!vote_.voters.empty() || !known());
     if (granted && vote_.voters.empty()) vote_ = std::move(request.roster);
-    respond(WordReply{granted, vote_});
+    respond(VoteReply{granted, vote_});
   });
 }
 
-bool Founding::known() const {
+bool RosterBootstrap::known() const {
   if (shared_state_.configuration.get()->roster.version.value > 0) return true;
   for (const auto snapshot = shared_state_.members.get(); const auto& [address, member] : snapshot->all)
     if (member.roster.value > 0) return true;
--- a/source/replication/founding.hpp
+++ b/source/replication/founding.hpp
@@ -22,23 +22,23 @@
   Voter candidate;
   MOTHWALK_FIELDS(candidate)
 };
-struct WordReply {
+struct VoteReply {
   bool granted = false;
   Roster roster;  // The roster that the seed has voted for, now or earlier.
   MOTHWALK_FIELDS_AS("given", granted, "roster", roster)
 };
 // Asks a seed to vote for a roster.
-struct AskWord {
+struct VoteRequest {
   static constexpr StringView kind = "founding.word";
-  using Reply = WordReply;
+  using Reply = VoteReply;
   Roster roster;
   MOTHWALK_FIELDS(roster)
 };
 
 // The state of a seed: the candidates that have reported and the vote that it has given.
-class Founding {
+class RosterBootstrap {
  public:
-  Founding(Messenger& messenger, SharedState& shared_state, bool first_start);
+  RosterBootstrap(Messenger& messenger, SharedState& shared_state, bool first_start);
 
  private:
   bool known() const;
--- a/source/replication/messages.hpp
+++ b/source/replication/messages.hpp
@@ -167,7 +167,7 @@
   MOTHWALK_FIELDS(target, owner, slot, epoch, roster, change)
 };
 // Sends a replica records that it lacks for the installation of the owner's epoch.
-struct Copies {
+struct CopyRecords {
   static constexpr StringView kind = "store.copies";
   using Reply = StoreReply;
   StorageNodeId target, owner;
@@ -271,14 +271,14 @@
   bool ask = true;
   MOTHWALK_FIELDS(ask)
 };
-struct RangeReply {
+struct ListStampsReply {
   std::vector<Record> stamps;  // Records without their content: only keys, stamps and removal marks.
   MOTHWALK_FIELDS(stamps)
 };
 // Anti-entropy repair: asks a replica for the keys and stamps of all records of a slot.
-struct Range {
+struct ListStamps {
   static constexpr StringView kind = "store.range";
-  using Reply = RangeReply;
+  using Reply = ListStampsReply;
   std::uint32_t slot = 0;
   MOTHWALK_FIELDS(slot)
 };
--- a/source/replication/record_file.cpp
+++ b/source/replication/record_file.cpp
@@ -80,8 +80,8 @@
   return frame_payload(to_cbor(entry), synced);
 }
 
-ReadFile read_frames(StringView bytes) {
-  ReadFile file;
+RecordFileContents read_frames(StringView bytes) {
+  RecordFileContents file;
   std::size_t at = 0;
   while (at < bytes.size()) {
     const auto frame = frame_at(bytes, at);
@@ -91,7 +91,7 @@
     file.entries.push_back(std::move(*entry));
     at += frame->size;
   }
-  file.sound_bytes = at;
+  file.valid_bytes = at;
   file.torn = at < bytes.size();
   file.damaged = file.torn && synced_beyond(bytes, at);
   return file;
--- a/source/replication/record_file.hpp
+++ b/source/replication/record_file.hpp
@@ -22,9 +22,9 @@
 };
 
 // The result of reading a record file.
-struct ReadFile {
+struct RecordFileContents {
   std::vector<DiskEntry> entries;
-  std::size_t sound_bytes = 0;  // The length of the valid part at the beginning of the file.
+  std::size_t valid_bytes = 0;  // The length of the valid part at the beginning of the file.
   bool torn = false;            // There are bytes after the valid part; unless `damaged`, they were never synced.
   bool damaged = false;         // Synced bytes are invalid, so nothing in the file can be trusted.
 };
@@ -32,6 +32,6 @@
 // Returns the frame for a payload or an entry. `synced` is the length in bytes up to which the file is synced.
 Bytes frame_payload(StringView payload, std::uint64_t synced);
 Bytes frame_entry(const DiskEntry& entry, std::uint64_t synced);
-ReadFile read_frames(StringView bytes);
+RecordFileContents read_frames(StringView bytes);
 
 }  // namespace mothwalk
--- a/source/replication/record_log.cpp
+++ b/source/replication/record_log.cpp
@@ -29,21 +29,21 @@
 RecordLog::RecordLog(Disk& disk, Timers& timers, Contents contents, std::size_t limit)
     : disk_(disk), timers_(timers), contents_(std::move(contents)), limit_(limit) {}
 
-Result<ReadFile> RecordLog::load() {
+Result<RecordFileContents> RecordLog::load() {
   auto bytes = disk_.read_all();
   if (auto error = error_of(bytes)) return *error;
-  ReadFile file = read_frames(std::get<Bytes>(bytes));
+  RecordFileContents file = read_frames(std::get<Bytes>(bytes));
   if (file.damaged) file.entries.clear();
   return file;
 }
 
-void RecordLog::start(const ReadFile& file) {
-  size_ = synced_ = file.sound_bytes;
+void RecordLog::start(const RecordFileContents& file) {
+  size_ = synced_ = file.valid_bytes;
   size_after_compaction_ = contents_.total_bytes();
   failed_ = file.damaged;
   if (failed_) return begin_compaction();
   if (!file.torn) return;
-  DiskOrder truncation{DiskOrder::Kind::cut, {}, file.sound_bytes, [this](bool succeeded) {
+  DiskOrder truncation{DiskOrder::Kind::cut, {}, file.valid_bytes, [this](bool succeeded) {
                          failed_ = failed_ || !succeeded;
                        }};
   disk_.order(std::move(truncation));
--- a/source/replication/record_log.hpp
+++ b/source/replication/record_log.hpp
@@ -23,9 +23,9 @@
   RecordLog(Disk& disk, Timers& timers, Contents contents, std::size_t limit);
 
   // Reads the file. If it is damaged, the result has no entries, and the file has to be replaced by a compaction.
-  Result<ReadFile> load();
+  Result<RecordFileContents> load();
   // To be called before the first append: truncates an incomplete last entry, or starts to replace a damaged file.
-  void start(const ReadFile& file);
+  void start(const RecordFileContents& file);
   // Calls `then` when the entry and all before it are durable; never if writing fails.
   void append(const DiskEntry& entry, std::function<void()> then);
   // Calls `then` when all entries appended so far are durable.
--- a/source/replication/record_transfer.cpp
+++ b/source/replication/record_transfer.cpp
@@ -59,7 +59,7 @@
   queue.transfers.erase(next);
   queue.transfers.push_back(transfer);
   queue.sending = true;
-  Copies copies = next_copies(*transfer);
+  CopyRecords copies = next_copies(*transfer);
   counts_.records_copied += copies.records.size();
   for (const auto& record : copies.records) counts_.bytes_copied += size_of(record);
   request_voter(transfer->voter, std::move(copies), peer_timeout, [this, transfer](Result<StoreReply> result) {
@@ -67,8 +67,8 @@
   });
 }
 
-Copies ReplicatedStore::next_copies(Transfer& transfer) {
-  Copies copies{{}, {}, transfer.slot, transfer.epoch, transfer.roster, {}};
+CopyRecords ReplicatedStore::next_copies(Transfer& transfer) {
+  CopyRecords copies{{}, {}, transfer.slot, transfer.epoch, transfer.roster, {}};
   std::size_t size = 0;
   while (!transfer.missing.empty()) {
     const Record* record = record_to_copy(transfer, transfer.missing.front());
--- a/source/replication/repair.cpp
+++ b/source/replication/repair.cpp
@@ -24,8 +24,8 @@
 }
 
 void ReplicatedStore::repair_slot(const Voter& peer, std::uint32_t slot) {
-  messenger_.request(peer.address, Range{slot}, peer_timeout, [this, peer, slot](Result<RangeReply> result) {
-    auto* range = std::get_if<RangeReply>(&result);
+  messenger_.request(peer.address, ListStamps{slot}, peer_timeout, [this, peer, slot](Result<ListStampsReply> result) {
+    auto* range = std::get_if<ListStampsReply>(&result);
     if (range == nullptr) return;
     FetchRecords fetch{slot, {}};
     for (const auto& peer_record : range->stamps)
--- a/source/replication/replica.cpp
+++ b/source/replication/replica.cpp
@@ -116,7 +116,7 @@
   append_to_log(std::move(entry), [respond] { respond(StoreReply{"stored", {}, {}, {}}); });
 }
 
-void ReplicatedStore::on_copies(Copies copies, ReplyCallback<StoreReply> respond) {
+void ReplicatedStore::on_copies(CopyRecords copies, ReplyCallback<StoreReply> respond) {
   if (!accepts(copies.target, copies.owner, copies.slot, copies.epoch, copies.roster, respond)) return;
   raise_promise(copies.slot, copies.epoch, copies.owner);
   SlotReplica& replica = slot_replicas_[copies.slot];
@@ -160,8 +160,8 @@
   respond(std::move(reply));
 }
 
-void ReplicatedStore::on_range(Range range, ReplyCallback<RangeReply> respond) {
-  RangeReply reply;
+void ReplicatedStore::on_range(ListStamps range, ReplyCallback<ListStampsReply> respond) {
+  ListStampsReply reply;
   if (range.slot < slot_count)
     for (const auto& [key, record] : slot_replicas_[range.slot].records)
       reply.stamps.push_back(Record{key, record.stamp, record.removed, {}, {}, {}, record.written});
--- a/source/replication/replicated_store.cpp
+++ b/source/replication/replicated_store.cpp
@@ -45,7 +45,7 @@
   messenger_.on_request<Install>([this](const Address&, Install message, ReplyCallback<StoreReply> respond) {
     on_install(std::move(message), std::move(respond));
   });
-  messenger_.on_request<Copies>([this](const Address&, Copies message, ReplyCallback<StoreReply> respond) {
+  messenger_.on_request<CopyRecords>([this](const Address&, CopyRecords message, ReplyCallback<StoreReply> respond) {
     on_copies(std::move(message), std::move(respond));
   });
   messenger_.on_request<Confirm>([this](const Address&, Confirm message, ReplyCallback<StoreReply> respond) {
@@ -61,7 +61,7 @@
   });
   messenger_.on_request<Digests>(
       [this](const Address&, Digests, ReplyCallback<DigestsReply> respond) { on_digests(std::move(respond)); });
-  messenger_.on_request<Range>([this](const Address&, Range message, ReplyCallback<RangeReply> respond) {
+  messenger_.on_request<ListStamps>([this](const Address&, ListStamps message, ReplyCallback<ListStampsReply> respond) {
     on_range(std::move(message), std::move(respond));
   });
   messenger_.on_request<FetchRecords>(
@@ -88,7 +88,7 @@
   auto durable = [this] {
     durable_ = true;
   };
-  if (loaded_file_.sound_bytes == 0)
+  if (loaded_file_.valid_bytes == 0)
     append_to_log(DiskEntry{.what = "identity", .holder = identity_, .address = self_.address}, durable);
   else
     log_.when_synced(durable);
--- a/source/replication/replicated_store.hpp
+++ b/source/replication/replicated_store.hpp
@@ -89,12 +89,12 @@
   void on_promise(Promise promise, ReplyCallback<PromiseReply> respond);
   void on_store(Store store, ReplyCallback<StoreReply> respond);
   void on_install(Install install, ReplyCallback<StoreReply> respond);
-  void on_copies(Copies copies, ReplyCallback<StoreReply> respond);
+  void on_copies(CopyRecords copies, ReplyCallback<StoreReply> respond);
   void on_confirm(Confirm confirm, ReplyCallback<StoreReply> respond);
   void on_roster_update(RosterUpdate update);
   void on_sync_status(SyncStatus sync_status, ReplyCallback<SyncStatusReply> respond);
   void on_digests(ReplyCallback<DigestsReply> respond);
-  void on_range(Range range, ReplyCallback<RangeReply> respond);
+  void on_range(ListStamps range, ReplyCallback<ListStampsReply> respond);
   void on_fetch_records(FetchRecords fetch, ReplyCallback<RecordsReply> respond);
   void on_read(Read read, ReplyCallback<ReadReply> respond);
   void on_list_slot(const Address& from, ListSlot list, ReplyCallback<ListSlotReply> respond);
@@ -177,7 +177,7 @@
   bool is_current(const Transfer& transfer) const;
   bool needed_for_majority(const Transfer& transfer) const;
   void send_copies(const StorageNodeId& node);
-  Copies next_copies(Transfer& transfer);
+  CopyRecords next_copies(Transfer& transfer);
   const Record* record_to_copy(const Transfer& transfer, const std::string& key) const;
   void on_copies_reply(const TransferPointer& transfer, const StoreReply* reply);
   void resume_transfers();
@@ -278,8 +278,8 @@
   std::vector<SlotOwnership> slot_ownership_{slot_count};
   TimePoint started_;
   RecordLog log_;
-  ReadFile loaded_file_;  // The state of the record file at the start; its entries have been moved out.
-  bool durable_ = false;  // Whether the identity is known to be on disk.
+  RecordFileContents loaded_file_;  // The state of the record file at the start; its entries have been moved out.
+  bool durable_ = false;            // Whether the identity is known to be on disk.
   std::uint64_t commits_ = 0, ticks_ = 0;
   StoreCounts counts_;
   std::map<StorageNodeId, VoterTransfers> transfers_;
--- a/source/replication/roster_bootstrap.cpp
+++ b/source/replication/roster_bootstrap.cpp
@@ -125,15 +125,17 @@
   }
   std::vector<Address> order = seeds_;
   std::sort(order.begin(), order.end());
-  messenger_.request(order[seed], AskWord{roster}, milliseconds(500), [this, roster, seed](Result<WordReply> result) {
-    auto* reply = std::get_if<WordReply>(&result);
-    // Only the first seed chooses the roster. If another seed has voted for a different one, this attempt ends.
-    if (reply == nullptr || !reply->granted || (seed > 0 && reply->roster.voters != roster.voters)) {
-      bootstrapping_ = false;
-      return;
-    }
-    propose_roster(std::move(reply->roster), seed + 1);
-  });
+  messenger_.request(order[seed], VoteRequest{roster}, milliseconds(500),
+                     [this, roster, seed](Result<VoteReply> result) {
+                       auto* reply = std::get_if<VoteReply>(&result);
+                       // Only the first seed chooses the roster. If another seed has voted for a different one, this
+                       // attempt ends.
+                       if (reply == nullptr || !reply->granted || (seed > 0 && reply->roster.voters != roster.voters)) {
+                         bootstrapping_ = false;
+                         return;
+                       }
+                       propose_roster(std::move(reply->roster), seed + 1);
+                     });
 }
 
 }  // namespace mothwalk
--- a/source/replication/store_client.hpp
+++ b/source/replication/store_client.hpp
@@ -15,8 +15,8 @@
   // Sends a message to the owner of the key until it replies or the time `until` has come. `sent` says whether an
   // earlier attempt may have reached an owner: then a late refusal or a timeout is reported as an unknown outcome.
   template <class Message>
-  void ask_owner(const std::string& key, Message message, TimePoint until, bool sent,
-                 ReplyCallback<typename Message::Reply> callback) {
+  void request_owner(const std::string& key, Message message, TimePoint until, bool sent,
+                     ReplyCallback<typename Message::Reply> callback) {
     using Reply = typename Message::Reply;
     const TimePoint now = messenger_.timers().now();
     if (now >= until) {
@@ -31,7 +31,7 @@
     const Voter* voter = key_owner(*configuration, *shared_state_.members.get(), key);
     auto retry = [this, key, message, until, callback](bool was_sent) {
       messenger_.timers().after(std::chrono::milliseconds(100), [this, key, message, until, was_sent, callback] {
-        ask_owner<Message>(key, message, until, was_sent, callback);
+        request_owner<Message>(key, message, until, was_sent, callback);
       });
     };
     if (voter == nullptr) return retry(sent);
--- a/source/replication/store_file.cpp
+++ b/source/replication/store_file.cpp
@@ -17,7 +17,7 @@
 Result<Success> ReplicatedStore::load() {
   auto read = log_.load();
   if (auto error = error_of(read)) return *error;
-  loaded_file_ = std::get<ReadFile>(std::move(read));
+  loaded_file_ = std::get<RecordFileContents>(std::move(read));
   if (loaded_file_.damaged)
     report_.log(
         "The record file is damaged; this data folder gets a new identity and copies its records from other storage "
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -57,7 +57,8 @@
                  std::make_unique<Messenger>(*this, *timers_, address, incarnation_, slice));
   };
   if (first_start)
-    components_->founding = std::make_unique<Founding>(messenger("founding"), *shared_state_, *first_start);
+    components_->roster_bootstrap =
+        std::make_unique<RosterBootstrap>(messenger("founding"), *shared_state_, *first_start);
   if (has_disk) {
     ReplicatedStore::Report report;
     report.log = [this](StringView sentence) {
@@ -430,10 +431,10 @@
 void SimulatedCluster::retirement(const std::string& roster, const Address& holder,
                                   std::function<void(RetirementReply)> then) {
   StoreClient* client = any_alive().client();
-  client->ask_owner<Retirement>(roster, Retirement{roster, holder, {}}, world.now() + std::chrono::seconds(2), false,
-                                [then](Result<RetirementReply> result) {
-                                  if (auto* reply = std::get_if<RetirementReply>(&result)) then(*reply);
-                                });
+  client->request_owner<Retirement>(roster, Retirement{roster, holder, {}}, world.now() + std::chrono::seconds(2),
+                                    false, [then](Result<RetirementReply> result) {
+                                      if (auto* reply = std::get_if<RetirementReply>(&result)) then(*reply);
+                                    });
 }
 
 void SimulatedCluster::crash_runner(RunnerModel& runner) {
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -64,7 +64,7 @@
     std::unique_ptr<SimulatedRunnerClient> live_runner_client, lot_runner_client;
     std::unique_ptr<Sessions> sessions;
     std::unique_ptr<ConfigurationGossip> gossip;
-    std::unique_ptr<Founding> founding;
+    std::unique_ptr<RosterBootstrap> roster_bootstrap;
     std::unique_ptr<ReplicatedStore> kept;
     std::unique_ptr<CircleManager> circle;
     std::unique_ptr<Lots> lots;
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -24,7 +24,7 @@
   SimulatedTimers timers{world, std::make_shared<Life>()};
   SharedState shared_state;
   Messenger messenger{wire, timers, Address("10.0.0.9:1"), 1, "founding"};
-  Founding founding;
+  RosterBootstrap founding;
   explicit Seed(bool first_start) : founding(messenger, shared_state, first_start) {}
   template <class Message>
   typename Message::Reply deliver(const std::string& from, const Message& message) {
@@ -57,12 +57,12 @@
   CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).candidates.size() == 2);
   CHECK(seed.deliver("10.0.0.3:1", ReportCandidate{voter("d", "10.0.0.4:1")}).candidates.size() == 2);
   const Roster first{Version{1}, {voter("a", "10.0.0.1:1")}}, second{Version{1}, {voter("b", "10.0.0.2:1")}};
-  CHECK(seed.deliver("10.0.0.1:1", AskWord{first}).roster.voters == first.voters);
-  const WordReply other = seed.deliver("10.0.0.2:1", AskWord{second});
+  CHECK(seed.deliver("10.0.0.1:1", VoteRequest{first}).roster.voters == first.voters);
+  const VoteReply other = seed.deliver("10.0.0.2:1", VoteRequest{second});
   CHECK((other.granted && other.roster.voters == first.voters));
   CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).vote.voters == first.voters);
   Seed later(false);
-  CHECK_FALSE(later.deliver("10.0.0.1:1", AskWord{first}).granted);
+  CHECK_FALSE(later.deliver("10.0.0.1:1", VoteRequest{first}).granted);
   CHECK_FALSE(later.deliver("10.0.0.1:1", ReportCandidate{voter("a", "10.0.0.1:1")}).first_start);
 }
 
@@ -72,7 +72,7 @@
   view.roster = Roster{Version{1}, {voter("a", "10.0.0.1:1")}};
   seed.shared_state.configuration.set(view);
   CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("b", "10.0.0.2:1")}).known);
-  CHECK_FALSE(seed.deliver("10.0.0.2:1", AskWord{Roster{Version{1}, {voter("b", "10.0.0.2:1")}}}).granted);
+  CHECK_FALSE(seed.deliver("10.0.0.2:1", VoteRequest{Roster{Version{1}, {voter("b", "10.0.0.2:1")}}}).granted);
 }
 
 TEST_CASE("the fleet gets exactly one first roster, whichever daemons are seeds, and a separate one for lots") {
--- a/tests/fuzz/record_file.cpp
+++ b/tests/fuzz/record_file.cpp
@@ -64,11 +64,11 @@
     file += frame_payload(payload);
   }
   if (is_raw) file = Bytes(input.rest());
-  const ReadFile read = read_frames(file);
-  expect(read.sound_bytes <= file.size(), "the intact part is no longer than the file");
-  expect(read.torn == (read.sound_bytes < file.size()),
+  const RecordFileContents read = read_frames(file);
+  expect(read.valid_bytes <= file.size(), "the intact part is no longer than the file");
+  expect(read.torn == (read.valid_bytes < file.size()),
          "a file counts as torn exactly if it continues after the intact part");
-  const ReadFile intact = read_frames(StringView(file).substr(0, read.sound_bytes));
+  const RecordFileContents intact = read_frames(StringView(file).substr(0, read.valid_bytes));
   expect(intact.entries.size() == read.entries.size() && !intact.torn, "the intact part is read the same on its own");
   InMemoryDisk disk(file);
   StorageNodeId first, second;
--- a/tests/log_files_test.cpp
+++ b/tests/log_files_test.cpp
@@ -62,7 +62,7 @@
     if (!files_.open()) return true;
     auto file = log.load();
     REQUIRE(error_of(file) == nullptr);
-    ReadFile& read = std::get<ReadFile>(file);
+    RecordFileContents& read = std::get<RecordFileContents>(file);
     for (const auto& entry : read.entries)
       if (entry.what == "change") numbers.insert(std::stoi(entry.change.key.substr(5)));
     log.start(read);
@@ -264,7 +264,7 @@
   };
   RecordLog log(disk, timers, contents, limit);
   REQUIRE(files.open());
-  log.start(std::get<ReadFile>(log.load()));
+  log.start(std::get<RecordFileContents>(log.load()));
   CHECK(log.has_room());
   live_bytes = 18u << 20;  // Twice this size plus the reserve exceeds the limit.
   CHECK_FALSE(log.has_room());
@@ -290,7 +290,7 @@
   explicit LimitedLog(std::size_t initial_bytes) : live_bytes(initial_bytes) {
     volume.capacity = limit;
     REQUIRE(files.open());
-    log.start(std::get<ReadFile>(log.load()));
+    log.start(std::get<RecordFileContents>(log.load()));
   }
   RecordLog::Contents contents() {
     RecordLog::Contents contents;
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -64,7 +64,7 @@
     auto new_messenger = std::make_unique<Messenger>(*this, *timers_, address, self.incarnation, slice);
     return *(components_->messengers[slice] = std::move(new_messenger));
   };
-  components_->founding = std::make_unique<Founding>(messenger("founding"), *shared_state_, first_start);
+  components_->founding = std::make_unique<RosterBootstrap>(messenger("founding"), *shared_state_, first_start);
   if (setup.has_disk) {
     ReplicatedStore::Report report;
     components_->store = std::make_unique<ReplicatedStore>(messenger("store"), *shared_state_, disk, *random_, self,
--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -57,7 +57,7 @@
     std::map<std::string, std::unique_ptr<Messenger>> messengers;
     std::unique_ptr<Sessions> sessions;
     std::unique_ptr<ConfigurationGossip> gossip;
-    std::unique_ptr<Founding> founding;
+    std::unique_ptr<RosterBootstrap> founding;
     std::unique_ptr<ReplicatedStore> store;
     std::unique_ptr<StoreClient> client;
     std::unique_ptr<FleetCalls> fleet_calls;
--- a/tests/model/disk.cpp
+++ b/tests/model/disk.cpp
@@ -39,7 +39,7 @@
 
 void DecodedFile::apply(StringView bytes) {
   if (bytes.empty()) return;
-  const ReadFile file = read_frames(bytes);
+  const RecordFileContents file = read_frames(bytes);
   if (file.damaged) return;
   for (const auto& entry : file.entries) apply(entry);
   digest = hash_of(bytes, digest);
--- a/tests/model/planted_faults.cpp
+++ b/tests/model/planted_faults.cpp
@@ -58,7 +58,7 @@
   if (fault == PlantedFault::epoch_check_off && !envelope.reply) {
     if (envelope.kind == Store::kind) raise_epoch<Store>(receiver, envelope);
     if (envelope.kind == Install::kind) raise_epoch<Install>(receiver, envelope);
-    if (envelope.kind == Copies::kind) raise_epoch<Copies>(receiver, envelope);
+    if (envelope.kind == CopyRecords::kind) raise_epoch<CopyRecords>(receiver, envelope);
     if (envelope.kind == Confirm::kind) raise_epoch<Confirm>(receiver, envelope);
   }
   if (fault == PlantedFault::order_identity_ignored && !envelope.reply) remove_change_identities(envelope);
--- a/tests/record_file_test.cpp
+++ b/tests/record_file_test.cpp
@@ -21,7 +21,7 @@
   const Bytes first = frame_entry(change(1), 0), second = frame_entry(change(2), first.size());
   const Bytes file_bytes = first + second;
   for (std::size_t length = 0; length <= file_bytes.size(); ++length) {
-    const ReadFile file = read_frames(StringView(file_bytes).substr(0, length));
+    const RecordFileContents file = read_frames(StringView(file_bytes).substr(0, length));
     CHECK(file.entries.size() == (length >= file_bytes.size() ? 2 : length >= first.size() ? 1 : 0));
     CHECK_FALSE(file.damaged);
     CHECK(file.torn == (length != 0 && length != first.size() && length != file_bytes.size()));
@@ -35,7 +35,7 @@
   for (std::size_t offset = 0; offset < file_bytes.size(); ++offset) {
     Bytes damaged_bytes = file_bytes;
     damaged_bytes[offset] = static_cast<char>(damaged_bytes[offset] ^ 0x10);
-    const ReadFile file = read_frames(damaged_bytes);
+    const RecordFileContents file = read_frames(damaged_bytes);
     CHECK(file.entries.size() < 3);
     CHECK(file.damaged == (offset < first.size() + second.size()));
   }
@@ -46,11 +46,11 @@
   // Both records were written before either was synced, and the power failure kept only the second one.
   const Bytes lost(frame_entry(change(2), first.size()).size(), '\0');
   const Bytes kept = frame_entry(change(3), first.size());
-  const ReadFile file = read_frames(first + lost + kept);
+  const RecordFileContents file = read_frames(first + lost + kept);
   CHECK(file.torn);
   CHECK_FALSE(file.damaged);
   CHECK(file.entries.size() == 1);
-  CHECK(file.sound_bytes == first.size());
+  CHECK(file.valid_bytes == first.size());
 }
 
 TEST_CASE("a gap is damage exactly if a later record states at least its first byte as synced") {
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -161,8 +161,8 @@
     CHECK(from_cbor<StoreReply>(wire.last.body)->outcome == "refused");
     deliver(Promise{StorageNodeId("wiped"), owner_id, 3, Epoch{99}, roster});
     CHECK(wire.last.kind == "fault");
-    deliver(Range{3});
-    const auto range = from_cbor<RangeReply>(wire.last.body);
+    deliver(ListStamps{3});
+    const auto range = from_cbor<ListStampsReply>(wire.last.body);
     REQUIRE(range->stamps.size() == 1);
     CHECK(range->stamps[0].stamp == Stamp{Epoch{7}, Version{1}});
     life->alive = false;
@@ -218,10 +218,10 @@
   copy.key = keys[0];
   copy.stamp = copy.written = Stamp{Epoch{7}, Version{1}};
   copy.head = Bytes(1u << 20, 'l');
-  deliver(Copies{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
+  deliver(CopyRecords{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
   REQUIRE(outcome() == "stored");
   const std::size_t size_after_first = store.log().file_size();
-  deliver(Copies{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
+  deliver(CopyRecords{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
   CHECK(outcome() == "stored");
   CHECK(store.log().file_size() < size_after_first + 1000);
   std::size_t stored = 1;
@@ -239,12 +239,12 @@
   CHECK(store.counts().stores_refused_for_room == 1);
   CHECK_FALSE(store.log().failed());
   copy.key = keys.back();
-  deliver(Copies{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
+  deliver(CopyRecords{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
   CHECK(outcome() == "refused");
   deliver(Promise{identity, owner_id, 3, Epoch{8}, roster});
   CHECK(from_cbor<PromiseReply>(wire.last.body)->granted);
-  deliver(Range{3});
-  CHECK(from_cbor<RangeReply>(wire.last.body)->stamps.size() == stored);
+  deliver(ListStamps{3});
+  CHECK(from_cbor<ListStampsReply>(wire.last.body)->stamps.size() == stored);
   // Another voter has one more record, which the repair fetches.
   copy.stamp = copy.written = Stamp{Epoch{8}, Version{1}};
   copy.head = Bytes(3u << 20, 'l');
@@ -258,7 +258,8 @@
             Envelope{owner, 1, "store", "store", "reply", request.call, true, to_cbor(reply), protocol_number});
       };
       if (request.kind == Digests::kind) send_reply(DigestsReply{std::vector<std::uint64_t>(slot_count, 1)});
-      if (request.kind == Range::kind && from_cbor<Range>(request.body)->slot == 3) send_reply(RangeReply{{copy}});
+      if (request.kind == ListStamps::kind && from_cbor<ListStamps>(request.body)->slot == 3)
+        send_reply(ListStampsReply{{copy}});
       if (request.kind == FetchRecords::kind) send_reply(RecordsReply{{copy}}), record_fetched = true;
     }
   CHECK(record_fetched);
