--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -393,7 +393,7 @@
     if (auto error = error_of(lot)) return respond(error_reply(*error));
     return lots_.submit(SubmitLot{id, std::move(std::get<LotSpecification>(lot))}, write_timeout, respond_with);
   }
-  if (parts.size() == 2 && request.method == "DELETE") return lots_.end(id, write_timeout, respond_with);
+  if (parts.size() == 2 && request.method == "DELETE") return lots_.cancel(id, write_timeout, respond_with);
   if (parts.size() == 2 && request.method == "GET")
     return lots_.read(ReadLot{id, 0, 0, {}}, write_timeout, [respond](Result<LotPage> result) {
       if (auto error = error_of(result)) return respond(error_reply(*error));
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -2,7 +2,7 @@
 // bodies. Every daemon accepts every call, and forwards it to the owner of the record where that is another daemon.
 #pragma once
 #include "coding/json.hpp"
-#include "lots/lot_calls.hpp"
+#include "lots/lot_client.hpp"
 #include "replication/store_client.hpp"
 
 namespace mothwalk {
@@ -68,7 +68,7 @@
   Member self_;
   std::function<json::value()> load_json_;
   StoreClient client_;
-  LotCalls lots_;
+  LotClient lots_;
 };
 
 // Parses the JSON body by which a client submits a lot.
--- a/source/lots/item_placer.cpp
+++ b/source/lots/item_placer.cpp
@@ -162,21 +162,22 @@
     shared_state_.set_totals(message.totals.runner_kind,
                              KindTotals{messenger_.timers().now(), std::move(message.totals.runners)});
   });
-  messenger_.on_request<AskHeld>([this](const Address&, AskHeld request, ReplyCallback<CheckHeldItemsReply> respond) {
-    if (request.incarnation != messenger_.incarnation())
-      return respond(Error{ErrorKind::stale, "incarnation", "the placer has restarted", "treat its items as lost"});
-    CheckHeldItemsReply reply;
-    for (auto& item : request.items)
-      if (!held_items_.contains(item)) reply.missing.push_back(std::move(item));
-    respond(std::move(reply));
-  });
-  messenger_.on_request<AskSlot>([this](const Address&, AskSlot request, ReplyCallback<HeldItems> respond) {
+  messenger_.on_request<CheckHeldItems>(
+      [this](const Address&, CheckHeldItems request, ReplyCallback<CheckHeldItemsReply> respond) {
+        if (request.incarnation != messenger_.incarnation())
+          return respond(Error{ErrorKind::stale, "incarnation", "the placer has restarted", "treat its items as lost"});
+        CheckHeldItemsReply reply;
+        for (auto& item : request.items)
+          if (!held_items_.contains(item)) reply.missing.push_back(std::move(item));
+        respond(std::move(reply));
+      });
+  messenger_.on_request<ListHeldItems>([this](const Address&, ListHeldItems request, ReplyCallback<HeldItems> respond) {
     HeldItems reply{messenger_.incarnation(), {}};
     for (const auto& name : held_items_)
       if (slot_of("lot/" + name.lot) == request.slot) reply.items.push_back(name);
     respond(std::move(reply));
   });
-  messenger_.on_message<StopLot>([this](const Address&, StopLot stop) {
+  messenger_.on_message<StopLotItems>([this](const Address&, StopLotItems stop) {
     std::vector<std::uint64_t> stopped;
     for (const auto& [number, attempt] : attempts_)
       if (attempt.item.lot == stop.lot) stopped.push_back(number);
@@ -403,7 +404,7 @@
                               appointed_term(*configuration, runner_name, found->second.spec) &&
                               shared_state_.has_lease(now) && now - began < start_lease;
         for (const auto& item : reply->items) {
-          held_items_.insert(ItemName{item.lot, item.item, item.attempt});
+          held_items_.insert(ItemAttemptId{item.lot, item.item, item.attempt});
           if (may_send)
             send_item(runner_name, item);
           else
@@ -495,7 +496,7 @@
 // Reports are sent until the owner acknowledges them. Until then the item counts as held by this placer.
 
 void ItemPlacer::queue_report(ItemReport report) {
-  const ItemName name{report.lot, report.item, report.attempt};
+  const ItemAttemptId name{report.lot, report.item, report.attempt};
   reports_[name] = Report{std::move(report), false};
   schedule_reports();
 }
@@ -513,8 +514,8 @@
   const auto configuration = shared_state_.configuration.get();
   const auto members = shared_state_.members.get();
   struct ReportBatch {
-    FinishItems message;
-    std::vector<ItemName> names;
+    ReportItems message;
+    std::vector<ItemAttemptId> names;
     std::size_t bytes = 0;
   };
   std::map<Address, ReportBatch> batches;
--- a/source/lots/item_placer.hpp
+++ b/source/lots/item_placer.hpp
@@ -88,12 +88,12 @@
   std::map<std::string, RunnerState> runner_states_;
   std::set<std::string> own_runners_;  // The runners whose placer this daemon was at the last tick.
   std::map<std::uint64_t, Attempt> attempts_;
-  std::set<ItemName> held_items_;  // An item is held from its fetch until the owner has acknowledged the report.
+  std::set<ItemAttemptId> held_items_;  // An item is held from its fetch until the owner has acknowledged the report.
   struct Report {
     ItemReport item;
     bool in_flight = false;
   };
-  std::map<ItemName, Report> reports_;
+  std::map<ItemAttemptId, Report> reports_;
   std::map<Address, PendingOwner> pending_owners_;
   std::uint64_t last_attempt_ = 0, ticks_ = 0;
   bool fetch_scheduled_ = false, reports_scheduled_ = false;
--- a/source/lots/lot_calls.hpp
+++ b/source/lots/lot_client.hpp
@@ -4,8 +4,7 @@
 //   conflict                     a lot with this id exists with different content
 //   unknown                      it is unknown whether the lot was accepted; repeating the same call resolves it
 //   unknown_name                 the lot, or an item without a result, does not exist; a majority has confirmed that
-//   the
-//                                replying daemon is the owner
+//                                the replying daemon is the owner
 //   busy, lost and others        the call failed for now
 // For reads, refused and unknown also mean only that the call failed for now.
 #pragma once
@@ -15,15 +14,16 @@
 namespace mothwalk {
 
 // Submits, reads and cancels lots.
-class LotCalls {
+class LotClient {
  public:
-  LotCalls(Messenger& messenger, SharedState& shared_state) : messenger_(messenger), client_(messenger, shared_state) {}
+  LotClient(Messenger& messenger, SharedState& shared_state)
+      : messenger_(messenger), client_(messenger, shared_state) {}
   void submit(SubmitLot submit, Duration timeout, ReplyCallback<LotStatus> respond);
   void read(ReadLot read, Duration timeout, ReplyCallback<LotPage> respond);
   // Reads the request body of an item that has no result yet.
-  void body(std::string id, std::string item, Duration timeout, ReplyCallback<ItemBody> respond);
+  void read_item_body(std::string id, std::string item, Duration timeout, ReplyCallback<ItemBody> respond);
   // Cancels the lot.
-  void end(std::string id, Duration timeout, ReplyCallback<LotStatus> respond);
+  void cancel(std::string id, Duration timeout, ReplyCallback<LotStatus> respond);
 
  private:
   Messenger& messenger_;
--- a/source/lots/lot_ending.cpp
+++ b/source/lots/lot_ending.cpp
@@ -86,7 +86,7 @@
   if (lot.cancelled) {
     std::set<Address> placers;
     for (const std::uint32_t index : lot.in_progress) placers.insert(lot.items[index].placer);
-    for (const auto& placer : placers) messenger_.send(placer, StopLot{lot.id});
+    for (const auto& placer : placers) messenger_.send(placer, StopLotItems{lot.id});
     return;
   }
   const auto configuration = shared_state_.configuration.get();
--- a/source/lots/lot_recovery.cpp
+++ b/source/lots/lot_recovery.cpp
@@ -29,7 +29,7 @@
   slot.awaiting_held_items = true;
   auto outstanding = std::make_shared<std::size_t>(placers.size());
   for (const auto& placer : placers)
-    messenger_.request(placer, AskSlot{slot_number}, placer_reply_timeout,
+    messenger_.request(placer, ListHeldItems{slot_number}, placer_reply_timeout,
                        [this, slot_number, epoch = slot.epoch, outstanding, placer](Result<HeldItems> result) {
                          Slot& current_slot = slots_[slot_number];
                          if (current_slot.epoch != epoch) return;
@@ -62,15 +62,15 @@
 // The reply to a fetch may be lost. A running placer that does not hold an item after the start lease has expired never
 // ran the item and never will, so the item can be handed out again whether it is repeatable or not.
 void Lots::check_items_with_placers(TimePoint now) {
-  std::map<std::pair<Address, std::uint64_t>, AskHeld> requests;
+  std::map<std::pair<Address, std::uint64_t>, CheckHeldItems> requests;
   for (const auto& slot : slots_)
     for (const auto& [id, lot] : slot.lots)
       for (const std::uint32_t index : lot.in_progress) {
         const Item& item = lot.items[index];
         if (item.state == ItemState::started && now - item.started_at > start_check_delay) {
-          AskHeld& request = requests[{item.placer, item.placer_incarnation}];
+          CheckHeldItems& request = requests[{item.placer, item.placer_incarnation}];
           request.incarnation = item.placer_incarnation;
-          request.items.push_back(ItemName{id, index, item.attempt});
+          request.items.push_back(ItemAttemptId{id, index, item.attempt});
         }
       }
   for (const auto& [placer, request] : requests)
--- a/source/lots/lot_results.cpp
+++ b/source/lots/lot_results.cpp
@@ -87,7 +87,7 @@
   }
 };
 
-void Lots::handle_reports(FinishItems message, ReplyCallback<ReportItemsReply> respond) {
+void Lots::handle_reports(ReportItems message, ReplyCallback<ReportItemsReply> respond) {
   auto batch = std::make_shared<ReportBatch>();
   batch->respond = std::move(respond);
   std::map<std::string, std::vector<LotEntry>> results;
--- a/source/lots/lots.cpp
+++ b/source/lots/lots.cpp
@@ -36,8 +36,8 @@
                            "retry after its session has been established"});
     handle_fetch(from, placer->second.incarnation, std::move(message), std::move(respond), false);
   });
-  messenger_.on_request<FinishItems>(
-      [this](const Address&, FinishItems message, ReplyCallback<ReportItemsReply> respond) {
+  messenger_.on_request<ReportItems>(
+      [this](const Address&, ReportItems message, ReplyCallback<ReportItemsReply> respond) {
         handle_reports(std::move(message), std::move(respond));
       });
 }
--- a/source/lots/lots.hpp
+++ b/source/lots/lots.hpp
@@ -142,7 +142,7 @@
   LotEntry make_start_entry(const Lot& lot, std::uint32_t index) const;
   PlacedItem make_placed_item(const Lot& lot, std::uint32_t index) const;
   void deliver_started_items(Lot& lot, const std::vector<LotEntry>& starts, bool durable, ItemsReply& reply);
-  void handle_reports(FinishItems message, ReplyCallback<ReportItemsReply> respond);
+  void handle_reports(ReportItems message, ReplyCallback<ReportItemsReply> respond);
   // What becomes of a report: it is resolved; its result is being written; the placer has to send it again; or a
   // majority has to confirm this owner before the report may be dismissed.
   enum class ReportState { resolved, being_written, send_again, needs_confirmation };
--- a/source/lots/messages.hpp
+++ b/source/lots/messages.hpp
@@ -160,41 +160,41 @@
   MOTHWALK_FIELDS(runner_kind, runner, count, term, tokens)
 };
 // Identifies one attempt at an item.
-struct ItemName {
+struct ItemAttemptId {
   std::string lot;
   std::uint32_t item = 0;
   std::uint64_t attempt = 0;
-  auto operator<=>(const ItemName&) const = default;
+  auto operator<=>(const ItemAttemptId&) const = default;
   MOTHWALK_FIELDS(lot, item, attempt)
 };
 // The items of the request that the placer does not hold.
 struct CheckHeldItemsReply {
-  std::vector<ItemName> missing;
+  std::vector<ItemAttemptId> missing;
   MOTHWALK_FIELDS(missing)
 };
 // Sent by an owner to check whether a placer still holds the items that were handed to it, running or not reported yet.
-struct AskHeld {
+struct CheckHeldItems {
   static constexpr StringView kind = "placing.held";
   using Reply = CheckHeldItemsReply;
   std::uint64_t incarnation = 0;
-  std::vector<ItemName> items;
+  std::vector<ItemAttemptId> items;
   MOTHWALK_FIELDS(incarnation, items)
 };
 // The reply to a new owner, which asks all possible placers which items of its slot they hold before it hands any out.
 struct HeldItems {
   std::uint64_t incarnation = 0;
-  std::vector<ItemName> items;
+  std::vector<ItemAttemptId> items;
   MOTHWALK_FIELDS(incarnation, items)
 };
 // Asks a placer which items of a slot's lots it holds.
-struct AskSlot {
+struct ListHeldItems {
   static constexpr StringView kind = "placing.slot";
   using Reply = HeldItems;
   std::uint32_t slot = 0;
   MOTHWALK_FIELDS(slot)
 };
 // Tells a placer that a lot was cancelled, so that it stops the lot's running items.
-struct StopLot {
+struct StopLotItems {
   static constexpr StringView kind = "placing.stop";
   std::string lot;
   MOTHWALK_FIELDS(lot)
@@ -218,7 +218,7 @@
   MOTHWALK_FIELDS_AS("heard", acknowledged)
 };
 // Reports finished attempts to the owner of their lots.
-struct FinishItems {
+struct ReportItems {
   static constexpr StringView kind = "lots.finish";
   using Reply = ReportItemsReply;
   std::vector<ItemReport> items;
--- a/tests/coding_test.cpp
+++ b/tests/coding_test.cpp
@@ -23,7 +23,7 @@
   CHECK(decoded->status == -3);
   CHECK(decoded->body == Bytes("a\0b", 3));
   // As when an older daemon reads the message of a newer one: only the fields that both know are read.
-  auto shorter = from_cbor<ItemName>(to_cbor(entry));
+  auto shorter = from_cbor<ItemAttemptId>(to_cbor(entry));
   REQUIRE(shorter);
   CHECK(shorter->item == 7);
 }
--- a/tests/fuzz/peer_messages.hpp
+++ b/tests/fuzz/peer_messages.hpp
@@ -14,12 +14,12 @@
 template <class... Messages>
 struct MessageTypes {};
 
-using PeerMessages =
-    MessageTypes<Heartbeat, SessionExchange, Introduction, PushUpdates, Compare, FetchUpdates, AppliedStamp, Write,
-                 Read, ListSlot, ConfirmSlot, Promise, Store, CopyRecords, Install, Confirm, RosterUpdate,
-                 IdentifyRequest, FoundRoster, SyncStatus, Retirement, Digests, ListStamps, FetchRecords, SubmitLot,
-                 CancelLot, ReadLot, ReadItem, ListLots, PendingItems, KindPending, FetchItems, AskHeld, AskSlot,
-                 StopLot, FinishItems, LoadReport, LoadTotals, PlacerTotals, ReportCandidate, VoteRequest>;
+using PeerMessages = MessageTypes<Heartbeat, SessionExchange, Introduction, PushUpdates, Compare, FetchUpdates,
+                                  AppliedStamp, Write, Read, ListSlot, ConfirmSlot, Promise, Store, CopyRecords,
+                                  Install, Confirm, RosterUpdate, IdentifyRequest, FoundRoster, SyncStatus, Retirement,
+                                  Digests, ListStamps, FetchRecords, SubmitLot, CancelLot, ReadLot, ReadItem, ListLots,
+                                  PendingItems, KindPending, FetchItems, CheckHeldItems, ListHeldItems, StopLotItems,
+                                  ReportItems, LoadReport, LoadTotals, PlacerTotals, ReportCandidate, VoteRequest>;
 
 // The bytes before a message's body in an input: the type, the receiving machine, and the length (two bytes).
 inline constexpr std::size_t message_head_bytes = 4;
--- a/tests/item_placer_test.cpp
+++ b/tests/item_placer_test.cpp
@@ -145,7 +145,7 @@
   auto& attempt = fixture.dispatch(PlacerFixture::make_item());
   attempt.observer->on_head(200, {});
   attempt.observer->on_chunk("id: 1\ndata: one\n\nid: 2\n");
-  fixture.send_message(StopLot{"lot"});
+  fixture.send_message(StopLotItems{"lot"});
   fixture.wait(milliseconds(200));
   CHECK(attempt.cancelled);
   REQUIRE(fixture.reports.size() == 1);
@@ -164,7 +164,7 @@
   CHECK(fixture.reports.empty());
   auto count_held_items = [&] {
     fixture.messenger.receive(Envelope{fixture.self, 7, "placing", "lots", "placing.slot", 5, false,
-                                       to_cbor(AskSlot{slot_of("lot/lot")}), protocol_number});
+                                       to_cbor(ListHeldItems{slot_of("lot/lot")}), protocol_number});
     return from_cbor<HeldItems>(fixture.sent.back().body)->items.size();
   };
   CHECK(count_held_items() == 1);
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -1,6 +1,6 @@
 // Batches at their owner: result positions after a change of owner, cancellation, writes with unknown outcome, waiting
 // reads, pages and item bodies.
-#include "lots/lot_calls.hpp"
+#include "lots/lot_client.hpp"
 #include "lots_fixture.hpp"
 
 using namespace mothwalk;
@@ -42,8 +42,8 @@
   CHECK(second.fetch(10).size() == 3);
   // The same with a placer that holds two items. Placers are asked when the slot is taken over.
   OwnerFixture third(store, 6);
-  third.held_items = {ItemName{"lot", items[0].item, items[0].attempt},
-                      ItemName{"lot", items[1].item, items[1].attempt}};
+  third.held_items = {ItemAttemptId{"lot", items[0].item, items[0].attempt},
+                      ItemAttemptId{"lot", items[1].item, items[1].attempt}};
   third.shared_state.owned.set(Ownership{});
   third.wait(milliseconds(100));
   Ownership owned;
@@ -112,7 +112,7 @@
   report.outcome = "answer";
   report.status = 200;
   report.body = "late";
-  owner.send_request(FinishItems{{report}});
+  owner.send_request(ReportItems{{report}});
   owner.regain_slots(5);
   CHECK(owner.lots.counts().lots_kept == 0);
   CHECK(owner.lots.counts().lots_rebuilt == 1);
@@ -393,7 +393,7 @@
     members.all[owner].address = owner;
     members.all[owner].holder = StorageNodeId("holder");
     shared_state.members.set(members);
-    LotCalls calls(messenger, shared_state);
+    LotClient calls(messenger, shared_state);
     std::optional<Result<LotStatus>> outcome;
     calls.submit(SubmitLot{"lot", OwnerFixture::make_batch(1)}, seconds(2),
                  [&](Result<LotStatus> result) { outcome = std::move(result); });
--- a/tests/lot_starts_test.cpp
+++ b/tests/lot_starts_test.cpp
@@ -115,7 +115,7 @@
       REQUIRE(items.size() == 2);
       for (const auto& item : items)
         if (item.lot == "refused")
-          owner.request_ok(FinishItems{{ItemReport{item.lot, item.item, item.attempt, refused ? "not_run" : "lost",
+          owner.request_ok(ReportItems{{ItemReport{item.lot, item.item, item.attempt, refused ? "not_run" : "lost",
                                                    refused ? 503 : 0, Bytes()}}});
       return items[0].lot;
     };
@@ -148,7 +148,7 @@
   for (int run = 0; run < 4; ++run) {
     const auto items = owner.fetch(1);
     REQUIRE(items.size() == 1);
-    owner.request_ok(FinishItems{{ItemReport{"lot", 0, items[0].attempt, "not_run", 421, {}}}});
+    owner.request_ok(ReportItems{{ItemReport{"lot", 0, items[0].attempt, "not_run", 421, {}}}});
   }
   CHECK(owner.fetch(1).size() == 1);
   CHECK(owner.lots.counts().items_rested == 0);
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -175,7 +175,7 @@
   bool report(const PlacedItem& item, const std::string& outcome, const Bytes& body = {}, PartialStream part = {},
               std::uint32_t failures = 0) {
     auto result = request(
-        FinishItems{{ItemReport{item.lot, item.item, item.attempt, outcome, 200, body, std::move(part), failures}}});
+        ReportItems{{ItemReport{item.lot, item.item, item.attempt, outcome, 200, body, std::move(part), failures}}});
     return error_of(result) == nullptr && std::get<ReportItemsReply>(result).acknowledged.size() == 1;
   }
   LotPage read(const std::string& id, std::uint32_t after = 0, std::uint32_t limit = 1000) {
@@ -194,7 +194,7 @@
   std::vector<Envelope> sent;
   std::vector<Address> placers_asked;
   bool placers_reply = true;
-  std::vector<ItemName> held_items;  // The items that the placers report to hold.
+  std::vector<ItemAttemptId> held_items;  // The items that the placers report to hold.
   std::uint64_t calls = 1000, writes = 0;
   std::uint64_t expected_growth = 0;  // The value stated by the last write.
 
@@ -289,7 +289,7 @@
       return send_reply(envelope, to_cbor(reply), fetch_reply_delay);
     }
     if (!envelope.reply && envelope.kind == "lots.finish") {
-      const auto message = *from_cbor<FinishItems>(envelope.body);
+      const auto message = *from_cbor<ReportItems>(envelope.body);
       ReportItemsReply reply;
       for (std::uint32_t index = 0; index < message.items.size() && acknowledges; ++index) {
         reports.push_back(message.items[index]);
--- a/tests/lots_test.cpp
+++ b/tests/lots_test.cpp
@@ -42,7 +42,7 @@
   reply_to(*wire.last("store.list"), false);
   for (bool confirmed_as_owner : {false, true}) {
     messenger.receive(Envelope{placer, 1, "lots", "placing", "lots.finish", 77, false,
-                               to_cbor(FinishItems{{ItemReport{"unheard-of", 0, 1, "answer", 200, "done"}}}),
+                               to_cbor(ReportItems{{ItemReport{"unheard-of", 0, 1, "answer", 200, "done"}}}),
                                protocol_number});
     REQUIRE(wire.last("store.confirmslot") != nullptr);
     reply_to(*wire.last("store.confirmslot"), !confirmed_as_owner);
