--- a/source/host/beast_runner_client.cpp
+++ b/source/host/beast_runner_client.cpp
@@ -278,7 +278,7 @@
   }
   if (error || (connection->input_size == connection->input.size() && consumed == 0))
     return finish(connection, AttemptOutcome::broken);
-  if (reader.is_done()) return finish(connection, AttemptOutcome::whole);
+  if (reader.is_done()) return finish(connection, AttemptOutcome::complete);
   observer->on_pause();
   if (!still_current()) return;
   if (connection->paused)
@@ -295,7 +295,7 @@
                                             const boost::system::error_code& error) {
   const bool unframed = connection->header_received && connection->reader->need_eof();
   if (error != boost::asio::error::eof || !unframed) return handle_broken_connection(connection);
-  finish(connection, AttemptOutcome::whole);
+  finish(connection, AttemptOutcome::complete);
 }
 
 // Handles a connection that ended before the response was complete. If the connection was reused and no byte of a
@@ -330,11 +330,11 @@
   const auto observer = std::exchange(connection->observer, nullptr);
   attempts_.erase(connection->attempt_id);
   if (outcome == AttemptOutcome::not_sent && connection->sent_earlier) outcome = AttemptOutcome::broken;
-  const bool reuse = outcome == AttemptOutcome::whole && connection->request_written && connection->input_size == 0 &&
-                     connection->reader->is_done() && connection->reader->keep_alive() &&
+  const bool reuse = outcome == AttemptOutcome::complete && connection->request_written &&
+                     connection->input_size == 0 && connection->reader->is_done() && connection->reader->keep_alive() &&
                      connection->idle_timeout > Duration{} && connection->request.keep_connection;
   if (!reuse) {
-    counts_.unsolicited += outcome == AttemptOutcome::whole && connection->input_size > 0;
+    counts_.unsolicited += outcome == AttemptOutcome::complete && connection->input_size > 0;
     close(connection);
   } else {
     connection->request = {};
@@ -386,7 +386,7 @@
   if (found == connections_.end()) return;
   const ConnectionPointer connection = found->second;
   if (!connection->observer) return close(connection);
-  finish(connection, connection->connected ? AttemptOutcome::late : AttemptOutcome::not_sent);
+  finish(connection, connection->connected ? AttemptOutcome::timed_out : AttemptOutcome::not_sent);
 }
 
 void BeastRunnerClient::hold(Id attempt_id, bool paused) {
--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -268,7 +268,8 @@
       drain_began = steady_now();
       drain_until = drain_began + settings_.drain + std::chrono::milliseconds(platform_ ? 0 : 400);
       if (router_)
-        router_worker_.loop.offer([this, end = drain_until + -final_response_time] { router_->answer_all_by(end); });
+        router_worker_.loop.offer(
+            [this, end = drain_until + -final_response_time] { router_->set_drain_deadline(end); });
       wait_for_signal();
     });
   };
--- a/source/host/http_server.cpp
+++ b/source/host/http_server.cpp
@@ -100,14 +100,14 @@
       if (chunked_) out.append("Transfer-Encoding: chunked\r\n");
       out.append("\r\n");
     }
-    void piece(StringView piece) override {
-      if (!current() || piece.empty() || bodiless_) return;
+    void chunk(StringView chunk) override {
+      if (!current() || chunk.empty() || bodiless_) return;
       std::string& out = connection_->output_;
       if (chunked_) {
-        put_hex(out, piece.size());
-        out.append("\r\n").append(piece).append("\r\n");
+        put_hex(out, chunk.size());
+        out.append("\r\n").append(chunk).append("\r\n");
       } else {
-        out.append(piece);
+        out.append(chunk);
       }
     }
     void flush() override {
@@ -118,7 +118,7 @@
       if (chunked_) connection_->output_.append("0\r\n\r\n");
       connection_->finish_response();
     }
-    void break_off() override {
+    void abort() override {
       if (!current()) return;
       connection_->flush();
       connection_->close(CloseCause::aborted);
@@ -260,7 +260,7 @@
     const auto request_number = request_number_;
     routed_ = true;
     const Router::Id id =
-        server_.router_.arrive(std::move(live), std::make_shared<ConnectionSink>(shared_from_this(), request_number));
+        server_.router_.submit(std::move(live), std::make_shared<ConnectionSink>(shared_from_this(), request_number));
     if (request_number_ == request_number && awaiting_response_)
       route_id_ = id;
     else
@@ -403,7 +403,8 @@
     boost::system::error_code ignored;
     socket_.close(ignored);
     if (routed_ && awaiting_response_)
-      boost::asio::post(server_.context_, [self = shared_from_this()] { self->server_.router_.gone(self->route_id_); });
+      boost::asio::post(server_.context_,
+                        [self = shared_from_this()] { self->server_.router_.on_client_disconnected(self->route_id_); });
   }
 
   HttpServer& server_;
--- a/source/interfaces/interfaces.hpp
+++ b/source/interfaces/interfaces.hpp
@@ -79,10 +79,10 @@
 };
 
 enum class AttemptOutcome {
-  whole,     // The response is complete.
+  complete,  // The response is complete.
   not_sent,  // No byte of the request can have reached the runner.
   broken,    // The connection ended, or the response was invalid, before the response was complete.
-  late       // A time limit passed after the connection was established.
+  timed_out  // A time limit passed after the connection was established.
 };
 
 constexpr StringView name_of(AttemptOutcome outcome) {
--- a/source/listing/listing.cpp
+++ b/source/listing/listing.cpp
@@ -40,7 +40,7 @@
       body_.status = 0;
   }
   void on_end(AttemptOutcome outcome) override {
-    outcome == AttemptOutcome::whole ? on_result_(std::move(body_)) : on_result_(std::nullopt);
+    outcome == AttemptOutcome::complete ? on_result_(std::move(body_)) : on_result_(std::nullopt);
   }
 
  private:
--- a/source/lots/item_placer.cpp
+++ b/source/lots/item_placer.cpp
@@ -48,15 +48,16 @@
   PlainResponseReader(ItemPlacer& placer, std::uint64_t attempt, std::vector<std::uint32_t> refusals)
       : placer_(placer), attempt_(attempt), refusals_(std::move(refusals)) {}
   void on_head(int status, const std::vector<Header>&) override { status_ = status; }
-  void on_chunk(StringView piece) override {
-    if (body_.size() + piece.size() <= max_body_bytes)
-      body_.append(piece);
+  void on_chunk(StringView chunk) override {
+    if (body_.size() + chunk.size() <= max_body_bytes)
+      body_.append(chunk);
     else
       too_large_ = true;
   }
   void on_end(AttemptOutcome outcome) override {
     if (outcome == AttemptOutcome::not_sent) return placer_.on_attempt_ended(attempt_, {"not_run", 0, {}, {}});
-    if (outcome != AttemptOutcome::whole || too_large_) return placer_.on_attempt_ended(attempt_, {"lost", 0, {}, {}});
+    if (outcome != AttemptOutcome::complete || too_large_)
+      return placer_.on_attempt_ended(attempt_, {"lost", 0, {}, {}});
     if (std::find(refusals_.begin(), refusals_.end(), static_cast<std::uint32_t>(status_)) != refusals_.end())
       return placer_.on_attempt_ended(attempt_, {"not_run", status_, {}, {}});
     placer_.on_attempt_ended(attempt_, {"answer", status_, std::move(body_), {}});
@@ -95,10 +96,10 @@
     if (damaged_) return placer_.abort_attempt(attempt_, "damaged", status);
     if (is_success()) part_.version = response_.version;
   }
-  void on_chunk(StringView piece) override {
+  void on_chunk(StringView chunk) override {
     if (!is_success() || damaged_) return;
     Bytes events;
-    const bool consistent = reader_.take(piece, events);
+    const bool consistent = reader_.take(chunk, events);
     append_data(events);
     if (reader_.last()) part_.last_event = *reader_.last();
     if (reader_.version()) part_.version = *reader_.version();
@@ -109,7 +110,7 @@
     if (outcome == AttemptOutcome::not_sent) return finish("not_run");
     if (status_ == 0 || response_.foreign) return finish("lost");
     if (response_.not_run || response_.other_instance) return finish("not_run");
-    if (outcome != AttemptOutcome::whole) return finish("lost");
+    if (outcome != AttemptOutcome::complete) return finish("lost");
     if (status_ == 500) return finish("failed");
     if (status_ == 422) return finish("impossible");
     if (!is_success() || !reader_.rest().empty()) return finish("lost");
--- a/source/routes/router.cpp
+++ b/source/routes/router.cpp
@@ -35,9 +35,9 @@
 class DiscardingSink : public ResponseSink {
  public:
   void head(int, const std::vector<Header>&) override {}
-  void piece(StringView) override {}
+  void chunk(StringView) override {}
   void end() override {}
-  void break_off() override {}
+  void abort() override {}
   std::size_t backlog() const override { return 0; }
 };
 }  // namespace
@@ -115,7 +115,7 @@
   record.state = state;
 }
 
-Router::Id Router::arrive(LiveRequest request, std::shared_ptr<ResponseSink> sink) {
+Router::Id Router::submit(LiveRequest request, std::shared_ptr<ResponseSink> sink) {
   ++counts_.arrived;
   const Id id = ++last_id_;
   Record& record = requests_[id];
@@ -171,7 +171,7 @@
 }
 
 // The attempt is cancelled if the request may be repeated or its response is a stream.
-void Router::gone(Id id) {
+void Router::on_client_disconnected(Id id) {
   auto found = requests_.find(id);
   if (found == requests_.end() || found->second.state == State::finished) return;
   Record& record = found->second;
--- a/source/routes/router.hpp
+++ b/source/routes/router.hpp
@@ -13,12 +13,12 @@
  public:
   virtual ~ResponseSink() = default;
   virtual void head(int status, const std::vector<Header>& headers) = 0;
-  virtual void piece(StringView chunk) = 0;
+  virtual void chunk(StringView chunk) = 0;
   // Sends the buffered part of the response now.
   virtual void flush() {}
   virtual void end() = 0;
   // Ends the response so that the client can see that it is incomplete.
-  virtual void break_off() = 0;
+  virtual void abort() = 0;
   // Returns the number of bytes that the client has not read yet.
   virtual std::size_t backlog() const = 0;
 };
@@ -48,13 +48,13 @@
   // Attempts over connections that this daemon was not entitled to, and those of them that ended before a response.
   std::uint64_t over_share = 0, over_share_rejected = 0;
   // Requests that a limit delayed for long while a runner was idle. This must stay 0.
-  std::uint64_t held_beside_idle = 0;
+  std::uint64_t delayed_beside_idle = 0;
   MOTHWALK_FIELDS_AS("arrived", arrived, "answered", answered, "refused", refused, "unknown", unknown, "broken", broken,
                      "callers_gone", client_disconnects, "attempts", attempts, "retries", retries, "resumed", resumed,
                      "left_dark", cancelled_unresponsive, "own_zone", own_zone, "other_zone", other_zone, "refusals",
                      refusals, "unknowns", unknowns, "breaks", breaks, "attempts_failed", attempts_failed, "waits",
                      waits, "aims", aims, "strays", over_share, "strays_turned_away", over_share_rejected,
-                     "held_beside_idle", held_beside_idle)
+                     "held_beside_idle", delayed_beside_idle)
 };
 
 class Router {
@@ -63,21 +63,21 @@
   Router(Messenger& messenger, SharedState& shared_state, RunnerClient& runner_client, RandomSource& random,
          Member self, const Dialect& dialect = plain_dialect());
   void start();
-  Id arrive(LiveRequest request, std::shared_ptr<ResponseSink> sink);
+  Id submit(LiveRequest request, std::shared_ptr<ResponseSink> sink);
   // Handles a client that disconnected before the end of its response.
-  void gone(Id id);
+  void on_client_disconnected(Id id);
   std::size_t open() const { return requests_.size(); }
   const RouterCounts& counts() const { return counts_; }
   ClientLimits limits() const { return shared_state_.configuration.get()->limits; }
   bool draining() const { return shared_state_.draining; }
   // Distributes requests round-robin over all runners and ignores the circle. For benchmarks only.
-  void even_over_all(bool enabled) { runner_table_.round_robin_all = enabled; }
+  void set_round_robin_all(bool enabled) { runner_table_.round_robin_all = enabled; }
   // Called at most once a second with a description of what delayed requests or made attempts fail.
   std::function<void(StringView sentence)> warn = [](StringView) {
   };
   // Sets the time by which every request of a known lane gets a response, including requests that arrive later.
   // Responses that have begun by then are not aborted.
-  void answer_all_by(TimePoint end);
+  void set_drain_deadline(TimePoint end);
   // If set, requests that arrive over open connections during the drain are served instead of refused.
   bool serves_while_draining = false;
 
@@ -97,7 +97,7 @@
     bool repeatable = false;
     TimePoint arrived, waiting_since, deadline, sent;
     BlockReason block_reason = BlockReason::none;  // Why no runner was found at the last search.
-    bool delayed_beside_idle = false;              // The request was counted in `held_beside_idle`.
+    bool delayed_beside_idle = false;              // The request was counted in `delayed_beside_idle`.
     std::string kind, runner;
     RunnerClient::Id attempt_handle = 0;              // The handle of the current attempt.
     bool keep_connection = true, over_share = false;  // As in RunnerChoice.
@@ -206,7 +206,7 @@
   std::vector<Id> finished_;
   std::set<std::pair<TimePoint, Id>> deadlines_;
   std::optional<std::pair<TimePoint, Timers::Id>> deadline_timer_;
-  std::optional<TimePoint> drain_deadline_;  // Set by answer_all_by().
+  std::optional<TimePoint> drain_deadline_;  // Set by set_drain_deadline().
   // The balance of each kind by lane, for the weighted distribution of a lane with several kinds.
   std::map<std::string, std::map<std::string, double>> kind_credits_;
   RouterCounts counts_;
--- a/source/routes/router_admission.cpp
+++ b/source/routes/router_admission.cpp
@@ -62,7 +62,7 @@
   deadlines_.emplace(record.deadline, record.id);
 }
 
-void Router::answer_all_by(TimePoint end) {
+void Router::set_drain_deadline(TimePoint end) {
   drain_deadline_ = end;
   for (auto& [id, record] : requests_)
     if (record.state != State::finished && !record.lane_name.empty()) set_deadline(record);
--- a/source/routes/router_answers.cpp
+++ b/source/routes/router_answers.cpp
@@ -106,7 +106,7 @@
   Record& record = entry->second;
   runner_table_.response_received(record.runner, record.demand, !std::exchange(record.body_started, true));
   if (!record.events) {
-    record.sink->piece(chunk);
+    record.sink->chunk(chunk);
   } else if (!relay_events(record, chunk)) {
     abort_response(record, "order");
     return dispatch();
@@ -123,7 +123,7 @@
 bool Router::relay_events(Record& record, StringView chunk) {
   Bytes complete;
   const bool in_order = record.events->take(chunk, complete);
-  if (!complete.empty()) record.sink->piece(complete);
+  if (!complete.empty()) record.sink->chunk(complete);
   record.last_event = record.events->last();
   if (const auto& version = record.events->version()) record.version = *version;
   return in_order;
@@ -153,7 +153,7 @@
 // A connection beyond the daemon's share that ends before any response may have exceeded the runner's limit, which is
 // not a failure of the runner. The runner gets no requests for a short time.
 AttemptVerdict Router::verdict_of(const Record& record, AttemptOutcome outcome) {
-  if (outcome != AttemptOutcome::late && !record.keep_connection) {
+  if (outcome != AttemptOutcome::timed_out && !record.keep_connection) {
     runner_table_.pause_sending(record.runner, refusal_pause);
     counts_.over_share_rejected += record.over_share;
     return AttemptVerdict::inconclusive;
@@ -165,10 +165,10 @@
   auto entry = requests_.find(id);
   if (entry == requests_.end() || entry->second.attempt != attempt) return;
   Record& record = entry->second;
-  if (outcome != AttemptOutcome::whole) ++counts_.attempts_failed[record.kind + " " + std::string(name_of(outcome))];
+  if (outcome != AttemptOutcome::complete) ++counts_.attempts_failed[record.kind + " " + std::string(name_of(outcome))];
   if (record.state == State::relaying) {
     // A stream that ends inside an event is incomplete, even if the HTTP message is complete.
-    const bool complete = outcome == AttemptOutcome::whole && !(record.events && !record.events->rest().empty());
+    const bool complete = outcome == AttemptOutcome::complete && !(record.events && !record.events->rest().empty());
     end_attempt(record, complete ? AttemptVerdict::success : AttemptVerdict::failed);
     if (complete) {
       complete_response(record);
@@ -179,7 +179,7 @@
       record.sink->flush();
       retry(record);
     } else {
-      fail_response(record, outcome == AttemptOutcome::late ? "late" : "runner");
+      fail_response(record, outcome == AttemptOutcome::timed_out ? "late" : "runner");
     }
   } else if (record.state == State::sent) {
     end_attempt(record, verdict_of(record, outcome));
@@ -187,7 +187,7 @@
     if (outcome == AttemptOutcome::not_sent && record.lane.attempts > 0) --record.attempts;
     if (outcome == AttemptOutcome::not_sent)
       retry_or_fail(record, false, 503, "unreachable", "the runners could not be reached");
-    else if (outcome == AttemptOutcome::late)
+    else if (outcome == AttemptOutcome::timed_out)
       retry_or_fail(record, true, 504, "late", "the runner sent no response within the lane's time limit");
     else
       retry_or_fail(record, true, 502, "broken",
--- a/source/routes/router_endings.cpp
+++ b/source/routes/router_endings.cpp
@@ -29,7 +29,7 @@
   count_for_aims(record, false);
   ++counts_.broken;
   ++counts_.breaks[reason];
-  record.sink->break_off();
+  record.sink->abort();
   set_state(record, State::finished);
 }
 
@@ -75,7 +75,7 @@
                               {"Content-Length", std::to_string(body_text.size())}};
   if (reply.retry_after) headers.push_back({"Retry-After", dialect_.retry_after(retry_delay(record))});
   record.sink->head(reply.status, headers);
-  record.sink->piece(body_text);
+  record.sink->chunk(body_text);
   record.sink->end();
   set_state(record, State::finished);
 }
--- a/source/routes/router_sending.cpp
+++ b/source/routes/router_sending.cpp
@@ -68,7 +68,7 @@
   const std::string idle = runner_table_.find_idle_member(configuration, kind, record.tried, max_delay_beside_idle);
   if (idle.empty()) return;
   record.delayed_beside_idle = true;
-  ++counts_.held_beside_idle;
+  ++counts_.delayed_beside_idle;
   warn("Invariant violated: a request of lane '" + record.lane_name + "' waits for '" +
        std::string(name_of(record.block_reason)) + "' while runner '" + idle + "' is idle.");
 }
--- a/source/simulate/benchmarks.cpp
+++ b/source/simulate/benchmarks.cpp
@@ -37,7 +37,7 @@
     World world(seed);
     SimulatedCluster cluster(world, shape_named(shape_name, 1.0));
     if (!start_until_ready(cluster)) return;
-    for (auto& machine : cluster.machines) machine->entries()->even_over_all(round_robin);
+    for (auto& machine : cluster.machines) machine->entries()->set_round_robin_all(round_robin);
     cluster.load(seconds(120));
     // The controller of the circle's size settles before the measurement begins.
     world.run_until(world.now() + seconds(40));
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -219,9 +219,9 @@
     status_ = status;
     headers_ = headers;
   }
-  void piece(StringView piece) override {
+  void chunk(StringView chunk) override {
     if (text_.empty()) first_chunk_at_ = cluster_.world.milliseconds();
-    text_.append(piece);
+    text_.append(chunk);
     ++unread_chunks_;
     cluster_.max_client_backlog = std::max(cluster_.max_client_backlog, backlog());
   }
@@ -231,7 +231,7 @@
     if (!stuck) read_chunk();
   }
   void end() override { finish(true); }
-  void break_off() override { finish(false); }
+  void abort() override { finish(false); }
   std::size_t backlog() const override { return slow_ ? unread_chunks_ * (32u << 10) : 0; }
   void on_machine_killed() { finish(false); }
 
@@ -598,7 +598,7 @@
                         client->on_machine_killed();
                       }};
   world.at(Duration(300), machine->life(), [machine, request, client] {
-    if (machine->entries() != nullptr) machine->entries()->arrive(request, client);
+    if (machine->entries() != nullptr) machine->entries()->submit(request, client);
   });
 }
 
--- a/source/simulate/simulated_runner_client.cpp
+++ b/source/simulate/simulated_runner_client.cpp
@@ -121,7 +121,7 @@
   cluster_.world.at(budget, life_, [this, id, attempt, generation] {
     if (attempt->watchdog_generation == generation && attempts_.contains(id)) {
       release_slot(cluster_, attempt, "abandoned");
-      finish(id, attempt, AttemptOutcome::late);
+      finish(id, attempt, AttemptOutcome::timed_out);
     }
   });
 }
@@ -146,7 +146,7 @@
   if (runner.waiting.size() >= runner.slots)
     return deliver_to_daemon(id, attempt, [this, id, attempt] {
       attempt->observer->on_head(429, {});
-      if (attempts_.contains(id)) finish(id, attempt, AttemptOutcome::whole);
+      if (attempts_.contains(id)) finish(id, attempt, AttemptOutcome::complete);
     });
   runner.waiting.push_back([this, id, attempt, life] {
     if (!life->alive || !attempts_.contains(id)) return;
@@ -243,7 +243,7 @@
       attempt->head_received = true;
       attempt->observer->on_head(200, {});
       if (attempts_.contains(id)) attempt->observer->on_chunk(text);
-      if (attempts_.contains(id)) finish(id, attempt, AttemptOutcome::whole);
+      if (attempts_.contains(id)) finish(id, attempt, AttemptOutcome::complete);
     });
   }
   if ((runner.mode == "truncate" || attempt->aborts_response) && attempt->chunks_sent >= attempt->chunks / 2) {
@@ -252,7 +252,7 @@
   }
   if (attempt->chunks_sent == attempt->chunks) {
     release_slot(cluster_, attempt, "whole");
-    return deliver_to_daemon(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptOutcome::whole); });
+    return deliver_to_daemon(id, attempt, [this, id, attempt] { finish(id, attempt, AttemptOutcome::complete); });
   }
   const std::string text = attempt->id + " " + attempt->run + " " + std::to_string(attempt->chunks_sent) + " " +
                            std::to_string(attempt->chunks) + "\n";
@@ -288,8 +288,8 @@
   if (attempts_.erase(id) == 0) return;
   attempt->undelivered.clear();
   if (attempt->connection)
-    end == AttemptOutcome::whole && attempt->request.keep_connection ? connections_.make_idle(attempt->connection)
-                                                                     : connections_.close(attempt->connection);
+    end == AttemptOutcome::complete && attempt->request.keep_connection ? connections_.make_idle(attempt->connection)
+                                                                        : connections_.close(attempt->connection);
   attempt->observer->on_end(end);
 }
 
--- a/tests/header_dialect_fixture.hpp
+++ b/tests/header_dialect_fixture.hpp
@@ -41,27 +41,28 @@
 };
 const HeaderDialect header_dialect;
 
-struct SpeakingFixture : Fixture {
-  SpeakingFixture() : Fixture(header_dialect) {
+struct HeaderDialectFixture : Fixture {
+  HeaderDialectFixture() : Fixture(header_dialect) {
     put("lane/pay", R"({"path":"/pay","kind":"model","attempts":2,"waiting":500,"whole":5000})");
     put("lane/stream",
         R"({"path":"/stream","kind":"model","streaming":true,"resumable":true,"attempts":2,"waiting":500,"whole":5000})");
   }
-  std::shared_ptr<Seen> say(const std::string& target, std::vector<Header> headers, Router::Id* id = nullptr) {
-    auto seen = std::make_shared<Seen>();
+  std::shared_ptr<ReceivedResponse> send_request(const std::string& target, std::vector<Header> headers,
+                                                 Router::Id* id = nullptr) {
+    auto seen = std::make_shared<ReceivedResponse>();
     const auto request_id =
-        router.arrive(LiveRequest{"POST", target, std::move(headers), std::make_shared<const Bytes>("body")},
-                      std::make_shared<SeeingCaller>(seen));
+        router.submit(LiveRequest{"POST", target, std::move(headers), std::make_shared<const Bytes>("body")},
+                      std::make_shared<RecordingSink>(seen));
     if (id != nullptr) *id = request_id;
     return seen;
   }
-  std::string told(std::size_t attempt, StringView name) const {
+  std::string attempt_header(std::size_t attempt, StringView name) const {
     const auto* value = header_of(attempts.at(attempt).request.headers, name);
     return value == nullptr ? "" : *value;
   }
-  void whole(std::size_t attempt, int status = 200, std::vector<Header> headers = {}) {
-    attempts.at(attempt).watcher->on_head(status, headers);
-    attempts.at(attempt).watcher->on_end(AttemptOutcome::whole);
+  void complete_attempt(std::size_t attempt, int status = 200, std::vector<Header> headers = {}) {
+    attempts.at(attempt).observer->on_head(status, headers);
+    attempts.at(attempt).observer->on_end(AttemptOutcome::complete);
   }
 };
 
--- a/tests/item_placer_test.cpp
+++ b/tests/item_placer_test.cpp
@@ -49,7 +49,7 @@
     auto& attempt = fixture.dispatch(PlacerFixture::make_item(0, PartialStream{"one\ntwo", 2, "7"}));
     const ItemReport report =
         fixture.complete(attempt, 200, different_weights ? "id: 3\ndata: three\n\n" : "id: 1\ndata: one\n\n",
-                         AttemptOutcome::whole, {{"Version", different_weights ? "8" : "7"}});
+                         AttemptOutcome::complete, {{"Version", different_weights ? "8" : "7"}});
     CHECK(report.outcome == "damaged");
     CHECK(report.part.last_event == 0);
     CHECK(report.part.text.empty());
@@ -113,13 +113,13 @@
     std::uint32_t failures;
   };
   for (const Case& each :
-       {Case{500, {}, AttemptOutcome::whole, "failed", 1}, Case{422, {}, AttemptOutcome::whole, "impossible", 0},
-        Case{503, {{"Not-Run", ""}}, AttemptOutcome::whole, "not_run", 0},
-        Case{500, {{"Not-Run", ""}}, AttemptOutcome::whole, "not_run", 0},
-        Case{421, {}, AttemptOutcome::whole, "not_run", 0},
-        Case{422, {{"Id", "another"}}, AttemptOutcome::whole, "lost", 0},
+       {Case{500, {}, AttemptOutcome::complete, "failed", 1}, Case{422, {}, AttemptOutcome::complete, "impossible", 0},
+        Case{503, {{"Not-Run", ""}}, AttemptOutcome::complete, "not_run", 0},
+        Case{500, {{"Not-Run", ""}}, AttemptOutcome::complete, "not_run", 0},
+        Case{421, {}, AttemptOutcome::complete, "not_run", 0},
+        Case{422, {{"Id", "another"}}, AttemptOutcome::complete, "lost", 0},
         Case{500, {}, AttemptOutcome::broken, "lost", 0}, Case{0, {}, AttemptOutcome::not_sent, "not_run", 0},
-        Case{0, {}, AttemptOutcome::late, "lost", 0}}) {
+        Case{0, {}, AttemptOutcome::timed_out, "lost", 0}}) {
     PlacerFixture fixture;
     const ItemReport report =
         fixture.complete(fixture.dispatch(PlacerFixture::make_item()), each.status, "", each.end, each.headers);
@@ -159,7 +159,7 @@
   fixture.acknowledges = false;
   attempt.observer->on_head(200, {});
   attempt.observer->on_chunk("id: 1\ndata: one\n\n");
-  attempt.observer->on_end(AttemptOutcome::whole);
+  attempt.observer->on_end(AttemptOutcome::complete);
   fixture.wait(std::chrono::seconds(3));
   CHECK(fixture.reports.empty());
   auto count_held_items = [&] {
@@ -194,7 +194,7 @@
           if (!attempt.cancelled) {
             attempt.cancelled = true;
             attempt.observer->on_head(422, {});
-            attempt.observer->on_end(AttemptOutcome::whole);
+            attempt.observer->on_end(AttemptOutcome::complete);
           }
       }
       fixture.shared_state.load.set({{"model", KindTotals{fixture.world.now(), {}}}});
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -393,10 +393,10 @@
     members.all[owner].address = owner;
     members.all[owner].holder = StorageNodeId("holder");
     shared_state.members.set(members);
-    LotClient calls(messenger, shared_state);
+    LotClient client(messenger, shared_state);
     std::optional<Result<LotStatus>> outcome;
-    calls.submit(SubmitLot{"lot", OwnerFixture::make_batch(1)}, seconds(2),
-                 [&](Result<LotStatus> result) { outcome = std::move(result); });
+    client.submit(SubmitLot{"lot", OwnerFixture::make_batch(1)}, seconds(2),
+                  [&](Result<LotStatus> result) { outcome = std::move(result); });
     auto send_error = [&](ErrorKind kind) {
       messenger.receive(Envelope{owner, 1, "control", "lots", "fault", wire.sent.back().call, true,
                                  to_cbor(WireError{static_cast<std::int32_t>(kind), "lots", "no", "again"}),
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -330,7 +330,7 @@
   }
   // Plays the runner's response to the attempt, and returns the placer's report.
   ItemReport complete(FakeRunnerClient::Attempt& attempt, int status, const Bytes& bytes,
-                      AttemptOutcome outcome = AttemptOutcome::whole, std::vector<Header> headers = {}) {
+                      AttemptOutcome outcome = AttemptOutcome::complete, std::vector<Header> headers = {}) {
     if (status > 0) attempt.observer->on_head(status, headers);
     // Small chunks split the events.
     for (std::size_t at = 0; at < bytes.size(); at += 7) attempt.observer->on_chunk(StringView(bytes).substr(at, 7));
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -25,32 +25,32 @@
 };
 
 // What a client received.
-struct Seen {
+struct ReceivedResponse {
   int status = 0;
   std::string outcome, retry_after, text;
   bool ended = false, broken = false;
 };
 
-// Records the response of a request in a Seen.
-class SeeingCaller : public ResponseSink {
+// Records the response of a request in a ReceivedResponse.
+class RecordingSink : public ResponseSink {
  public:
-  explicit SeeingCaller(std::shared_ptr<Seen> seen) : seen_(std::move(seen)) {}
+  explicit RecordingSink(std::shared_ptr<ReceivedResponse> seen) : response_(std::move(seen)) {}
   void head(int status, const std::vector<Header>& headers) override {
-    CHECK(seen_->status == 0);
-    seen_->status = status;
+    CHECK(response_->status == 0);
+    response_->status = status;
     for (const auto& header : headers) {
-      if (header.name == "X-Mothwalk-Outcome") seen_->outcome = header.value;
-      if (header.name == "Retry-After") seen_->retry_after = header.value;
+      if (header.name == "X-Mothwalk-Outcome") response_->outcome = header.value;
+      if (header.name == "Retry-After") response_->retry_after = header.value;
     }
   }
-  void piece(StringView piece) override { seen_->text.append(piece); }
-  void end() override { seen_->ended = true; }
-  void break_off() override { seen_->broken = true; }
+  void chunk(StringView chunk) override { response_->text.append(chunk); }
+  void end() override { response_->ended = true; }
+  void abort() override { response_->broken = true; }
   std::size_t backlog() const override { return backlog_; }
   std::size_t backlog_ = 0;
 
  private:
-  std::shared_ptr<Seen> seen_;
+  std::shared_ptr<ReceivedResponse> response_;
 };
 
 // A router in a daemon with a lease, with three runners in the circle of the kind "model" and one runner outside it.
@@ -66,7 +66,7 @@
   Router router;
   struct Attempt {
     AttemptRequest request;
-    std::shared_ptr<AttemptObserver> watcher;
+    std::shared_ptr<AttemptObserver> observer;
   };
   std::vector<Attempt> attempts;
 
@@ -104,12 +104,12 @@
   void lease() { shared_state.lease_until = (world.now() + std::chrono::hours(1)).microseconds; }
   void wait(Duration span) { world.run_until(world.now() + span); }
   // Submits a request to the router, and returns what its client will have received.
-  std::shared_ptr<Seen> submit(const std::string& target, Router::Id* id = nullptr,
-                               std::shared_ptr<SeeingCaller>* sink_out = nullptr) {
-    auto seen = std::make_shared<Seen>();
-    auto sink = std::make_shared<SeeingCaller>(seen);
+  std::shared_ptr<ReceivedResponse> submit(const std::string& target, Router::Id* id = nullptr,
+                                           std::shared_ptr<RecordingSink>* sink_out = nullptr) {
+    auto seen = std::make_shared<ReceivedResponse>();
+    auto sink = std::make_shared<RecordingSink>(seen);
     if (sink_out != nullptr) *sink_out = sink;
-    const auto request_id = router.arrive(LiveRequest{"POST",
+    const auto request_id = router.submit(LiveRequest{"POST",
                                                       target,
                                                       {{"Connection", "keep-alive"}, {"X-Request-Id", "r"}},
                                                       std::make_shared<const Bytes>("body")},
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -4,7 +4,7 @@
 TEST_CASE("requests go to the circle's runners without hop-by-hop headers, and responses are relayed unchanged") {
   Fixture fixture;
   EXPECT_ATTEMPTS(fixture, 6);
-  std::vector<std::shared_ptr<Seen>> all;
+  std::vector<std::shared_ptr<ReceivedResponse>> all;
   for (int count = 0; count < 6; ++count) all.push_back(fixture.submit("/pay"));
   REQUIRE(fixture.attempts.size() == 6);
   std::map<std::string, int> attempts_by_runner;
@@ -15,19 +15,19 @@
   // The requests are distributed evenly over the circle, and none is sent to the runner outside it.
   CHECK(attempts_by_runner.size() == 3);
   for (const auto& [address, count] : attempts_by_runner) CHECK((count == 2 && address != "10.0.1.4:80"));
-  fixture.attempts[0].watcher->on_head(418, {{"X-Own", "1"}});
-  fixture.attempts[0].watcher->on_chunk("short and stout");
-  fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
+  fixture.attempts[0].observer->on_head(418, {{"X-Own", "1"}});
+  fixture.attempts[0].observer->on_chunk("short and stout");
+  fixture.attempts[0].observer->on_end(AttemptOutcome::complete);
   CHECK((all[0]->status == 418 && all[0]->outcome == "answer" && all[0]->text == "short and stout" && all[0]->ended &&
          !all[0]->broken));
 }
 
 TEST_CASE("an unrepeatable request that may have run has the outcome unknown and is never retried") {
-  for (auto [end, status] : {std::pair{AttemptOutcome::broken, 502}, {AttemptOutcome::late, 504}}) {
+  for (auto [end, status] : {std::pair{AttemptOutcome::broken, 502}, {AttemptOutcome::timed_out, 504}}) {
     Fixture fixture;
     EXPECT_ATTEMPTS(fixture, 1);
     auto seen = fixture.submit("/pay");
-    fixture.attempts[0].watcher->on_end(end);
+    fixture.attempts[0].observer->on_end(end);
     CHECK((seen->status == status && seen->outcome == "unknown" && seen->ended));
     fixture.wait(std::chrono::seconds(2));
   }
@@ -42,9 +42,9 @@
     for (std::size_t attempt = 0; attempt < 3; ++attempt) {
       REQUIRE(fixture.attempts.size() == attempt + 1);
       if (refusal)
-        fixture.attempts[attempt].watcher->on_head(429, {});
+        fixture.attempts[attempt].observer->on_head(429, {});
       else
-        fixture.attempts[attempt].watcher->on_end(AttemptOutcome::not_sent);
+        fixture.attempts[attempt].observer->on_end(AttemptOutcome::not_sent);
     }
     CHECK((seen->status == 503 && seen->outcome == "refused" && !seen->retry_after.empty() && seen->ended));
     std::set<std::string> used;
@@ -58,13 +58,13 @@
   EXPECT_ATTEMPTS(fixture, 4);
   auto seen = fixture.submit("/tell");
   for (std::size_t attempt = 0; attempt < 3; ++attempt)
-    fixture.attempts[attempt].watcher->on_end(AttemptOutcome::broken);
+    fixture.attempts[attempt].observer->on_end(AttemptOutcome::broken);
   CHECK((seen->status == 502 && seen->outcome == "unknown"));
   fixture.wait(std::chrono::seconds(3));
   auto other = fixture.submit("/tell");
-  fixture.attempts[3].watcher->on_head(200, {});
-  fixture.attempts[3].watcher->on_chunk("half");
-  fixture.attempts[3].watcher->on_end(AttemptOutcome::broken);
+  fixture.attempts[3].observer->on_head(200, {});
+  fixture.attempts[3].observer->on_chunk("half");
+  fixture.attempts[3].observer->on_end(AttemptOutcome::broken);
   CHECK((other->text == "half" && other->broken && !other->ended));
 }
 
@@ -72,7 +72,7 @@
   Fixture fixture;
   fixture.put("lane/pay", R"({"path":"/pay","kind":"model","waiting":500,"waiting_room":2})");
   EXPECT_ATTEMPTS(fixture, 9);
-  std::vector<std::shared_ptr<Seen>> all;
+  std::vector<std::shared_ptr<ReceivedResponse>> all;
   // Three runners with two slots and an overcommit of 1.5 take nine requests. Two more may wait; the rest are refused
   // at once.
   for (int count = 0; count < 13; ++count) all.push_back(fixture.submit("/pay"));
@@ -90,7 +90,7 @@
   Router::Id id = 0;
   auto seen = fixture.submit("/tell", &id);
   REQUIRE_CALL(fixture.runner_client, cancel(_)).TIMES(1);
-  fixture.router.gone(id);
+  fixture.router.on_client_disconnected(id);
   CHECK(fixture.router.open() == 0);
   CHECK(seen->status == 0);
 }
@@ -101,9 +101,9 @@
   EXPECT_ATTEMPTS(fixture, 1);
   Router::Id id = 0;
   fixture.submit("/stream", &id);
-  fixture.attempts[0].watcher->on_head(200, {});
+  fixture.attempts[0].observer->on_head(200, {});
   REQUIRE_CALL(fixture.runner_client, cancel(_)).TIMES(1);
-  fixture.router.gone(id);
+  fixture.router.on_client_disconnected(id);
   CHECK(fixture.router.open() == 0);
 }
 
@@ -114,14 +114,14 @@
     Router::Id id = 0;
     auto seen = fixture.submit("/pay", &id);
     FORBID_CALL(fixture.runner_client, cancel(_));
-    fixture.router.gone(id);
+    fixture.router.on_client_disconnected(id);
     CHECK(fixture.router.open() == 1);
     if (refused) {
-      fixture.attempts[0].watcher->on_head(429, {});
+      fixture.attempts[0].observer->on_head(429, {});
     } else {
-      fixture.attempts[0].watcher->on_head(200, {});
-      fixture.attempts[0].watcher->on_chunk("done");
-      fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
+      fixture.attempts[0].observer->on_head(200, {});
+      fixture.attempts[0].observer->on_chunk("done");
+      fixture.attempts[0].observer->on_end(AttemptOutcome::complete);
     }
     CHECK(fixture.router.open() == 0);
     CHECK((seen->status == 0 && seen->text.empty() && !seen->ended));
@@ -135,7 +135,7 @@
   fixture.shared_state.lease_until = 1;
   Router::Id id = 0;
   fixture.submit("/pay", &id);
-  fixture.router.gone(id);
+  fixture.router.on_client_disconnected(id);
   CHECK(fixture.router.open() == 0);
   fixture.lease();
   fixture.wait(std::chrono::seconds(1));
@@ -145,14 +145,14 @@
 TEST_CASE("the response of a client that stops reading is aborted instead of filling the memory") {
   Fixture fixture;
   EXPECT_ATTEMPTS(fixture, 1);
-  std::shared_ptr<SeeingCaller> sink;
+  std::shared_ptr<RecordingSink> sink;
   auto seen = fixture.submit("/pay", nullptr, &sink);
-  fixture.attempts[0].watcher->on_head(200, {});
+  fixture.attempts[0].observer->on_head(200, {});
   {
     REQUIRE_CALL(fixture.runner_client, hold(_, true)).TIMES(1);
     sink->backlog_ = 300u << 10;
-    fixture.attempts[0].watcher->on_chunk("more");
-    fixture.attempts[0].watcher->on_chunk("and more");
+    fixture.attempts[0].observer->on_chunk("more");
+    fixture.attempts[0].observer->on_chunk("and more");
     sink->backlog_ = 200u << 10;
     fixture.wait(std::chrono::seconds(6));
   }
@@ -164,7 +164,7 @@
   CHECK_FALSE(seen->broken);
   ALLOW_CALL(fixture.runner_client, hold(_, true));
   sink->backlog_ = 300u << 10;
-  fixture.attempts[0].watcher->on_chunk("again");
+  fixture.attempts[0].observer->on_chunk("again");
   fixture.wait(std::chrono::seconds(9));
   CHECK_FALSE(seen->broken);
   REQUIRE_CALL(fixture.runner_client, cancel(_)).TIMES(1);
@@ -178,7 +178,7 @@
   const std::map<std::string, RunnerTotal> full{{"one", {0, 3, 0}}, {"two", {0, 3, 0}}, {"three", {0, 1, 0}}};
   fixture.messenger.receive(Envelope{Address("10.0.0.2:1"), 1, "routes", "circle", "routes.totals", 0, false,
                                      to_cbor(LoadTotals{"model", full}), protocol_number});
-  std::vector<std::shared_ptr<Seen>> seen;
+  std::vector<std::shared_ptr<ReceivedResponse>> seen;
   for (int count = 0; count < 3; ++count) seen.push_back(fixture.submit("/pay"));
   for (const auto& attempt : fixture.attempts)
     CHECK(attempt.request.to == Address(fixture.view.runners.at("three").spec.address));
@@ -194,14 +194,14 @@
   ALLOW_CALL(fixture.runner_client, cancel(_));
   fixture.submit("/pay");
   fixture.submit("/pay");
-  fixture.attempts[0].watcher->on_head(200, {});
-  fixture.attempts[0].watcher->on_end(AttemptOutcome::whole);
+  fixture.attempts[0].observer->on_head(200, {});
+  fixture.attempts[0].observer->on_end(AttemptOutcome::complete);
   fixture.wait(std::chrono::milliseconds(200));
-  fixture.attempts[1].watcher->on_head(200, {});
-  fixture.attempts[1].watcher->on_end(AttemptOutcome::whole);
+  fixture.attempts[1].observer->on_head(200, {});
+  fixture.attempts[1].observer->on_end(AttemptOutcome::complete);
   fixture.submit("/pay");
-  fixture.attempts[2].watcher->on_head(200, {});
-  fixture.attempts[2].watcher->on_end(AttemptOutcome::broken);
+  fixture.attempts[2].observer->on_head(200, {});
+  fixture.attempts[2].observer->on_end(AttemptOutcome::broken);
   fixture.shared_state.draining = true;
   fixture.submit("/pay");
   const auto& counts = fixture.router.counts().aims;
@@ -215,7 +215,7 @@
 TEST_CASE("Retry-After of a refused request is longer if more requests of its lane are waiting") {
   Fixture fixture;
   EXPECT_ATTEMPTS(fixture, 9);
-  std::vector<std::shared_ptr<Seen>> seen;
+  std::vector<std::shared_ptr<ReceivedResponse>> seen;
   for (int count = 0; count < 60; ++count) seen.push_back(fixture.submit("/pay"));
   fixture.wait(std::chrono::milliseconds(700));
   REQUIRE(seen[9]->status == 503);
@@ -317,12 +317,12 @@
     std::vector<Router::Id> ids;
     auto submit_requests = [&] {
       for (int count = 0; count < 5; ++count)
-        ids.push_back(router.arrive(LiveRequest{"POST", "/pay", {}, std::make_shared<const Bytes>("")},
-                                    std::make_shared<SeeingCaller>(std::make_shared<Seen>())));
+        ids.push_back(router.submit(LiveRequest{"POST", "/pay", {}, std::make_shared<const Bytes>("")},
+                                    std::make_shared<RecordingSink>(std::make_shared<ReceivedResponse>())));
     };
     submit_requests();
     at_first += offered;
-    for (const auto id : ids) router.gone(id);
+    for (const auto id : ids) router.on_client_disconnected(id);
     world.run_until(world.now() + std::chrono::seconds(5));
     offered = 0;
     submit_requests();
@@ -347,7 +347,7 @@
   MockRunnerClient runner_client;
   Router router;
   std::vector<AttemptRequest> requests;
-  std::vector<std::shared_ptr<AttemptObserver>> watchers;
+  std::vector<std::shared_ptr<AttemptObserver>> observers;
 
   static Member member_at(int index) {
     Member member = Fixture::self();
@@ -385,8 +385,8 @@
     shared_state.configuration.set(view);
   }
   Router::Id submit() {
-    return router.arrive(LiveRequest{"POST", "/pay", {}, std::make_shared<const Bytes>("")},
-                         std::make_shared<SeeingCaller>(std::make_shared<Seen>()));
+    return router.submit(LiveRequest{"POST", "/pay", {}, std::make_shared<const Bytes>("")},
+                         std::make_shared<RecordingSink>(std::make_shared<ReceivedResponse>()));
   }
   // Lets time pass while this daemon's configuration stays fresh.
   void advance(Duration span) {
@@ -455,18 +455,18 @@
     DaemonWithConnectionLimit daemon(1, 1);
     daemon.put_kind(R"({"connections":8,"overcommit":2,"circle":{"ramp":10000}})");
     ALLOW_CALL(daemon.runner_client, start(_, _))
-        .LR_SIDE_EFFECT(daemon.requests.push_back(_1); daemon.watchers.push_back(_2))
+        .LR_SIDE_EFFECT(daemon.requests.push_back(_1); daemon.observers.push_back(_2))
         .LR_RETURN(daemon.requests.size());
     ALLOW_CALL(daemon.runner_client, cancel(_));
     daemon.submit();
     REQUIRE(daemon.requests.size() == 1);
     const std::string failed = daemon.requests[0].runner;
-    daemon.watchers[0]->on_end(unreachable ? AttemptOutcome::not_sent : AttemptOutcome::broken);
+    daemon.observers[0]->on_end(unreachable ? AttemptOutcome::not_sent : AttemptOutcome::broken);
     daemon.advance(std::chrono::seconds(1));
     // A first request that is answered, then as many requests as the runner is given.
     while (daemon.requests.back().runner != failed) daemon.submit();
-    daemon.watchers.back()->on_head(200, {});
-    daemon.watchers.back()->on_end(AttemptOutcome::whole);
+    daemon.observers.back()->on_head(200, {});
+    daemon.observers.back()->on_end(AttemptOutcome::complete);
     const auto before = daemon.requests.size();
     for (int count = 0; count < 12; ++count) daemon.submit();
     std::size_t sent_to_failed = 0;
--- a/tests/runner_client_test.cpp
+++ b/tests/runner_client_test.cpp
@@ -90,7 +90,7 @@
     receive_request(socket);
     send(socket, next_head + "Content-Length: 2\r\n\r\nok");
     run([&] { return observer->outcome.has_value(); });
-    REQUIRE((observer->outcome == AttemptOutcome::whole && observer->text == "ok"));
+    REQUIRE((observer->outcome == AttemptOutcome::complete && observer->text == "ok"));
     return socket;
   }
 };
@@ -105,7 +105,7 @@
   CHECK(text.find("Host: callers.example\r\n") != std::string::npos);
   fixture.send(socket, "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n");
   fixture.run([&] { return observer->outcome.has_value(); });
-  CHECK((observer->status == 404 && observer->outcome == AttemptOutcome::whole));
+  CHECK((observer->status == 404 && observer->outcome == AttemptOutcome::complete));
   CHECK((fixture.runner_client.counts().opened == 1 && fixture.runner_client.counts().reused == 1));
   auto other = fixture.start(fixture.request(false, "two"));
   fixture.receive_request(fixture.accept());
@@ -123,7 +123,7 @@
     fixture.receive_request(new_connection);
     fixture.send(new_connection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     fixture.run([&] { return observer->outcome.has_value(); });
-    CHECK(observer->outcome == AttemptOutcome::whole);
+    CHECK(observer->outcome == AttemptOutcome::complete);
   }
 }
 
@@ -140,7 +140,7 @@
       fixture.send(new_connection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
     fixture.run([&] { return observer->outcome.has_value(); });
-    CHECK(observer->outcome == (repeatable ? AttemptOutcome::whole : AttemptOutcome::broken));
+    CHECK(observer->outcome == (repeatable ? AttemptOutcome::complete : AttemptOutcome::broken));
     CHECK(fixture.runner_client.counts().opened == (repeatable ? 2 : 1));
   }
 }
@@ -216,7 +216,7 @@
   fixture.send(socket, "HTTP/1.1 200 OK\r\n\r\nto the end");
   socket.close();
   fixture.run([&] { return observer->outcome.has_value(); });
-  CHECK((observer->outcome == AttemptOutcome::whole && observer->status == 200 && observer->text == "to the end"));
+  CHECK((observer->outcome == AttemptOutcome::complete && observer->status == 200 && observer->text == "to the end"));
   fixture.start(fixture.request());
   fixture.receive_request(fixture.accept());
   CHECK((fixture.runner_client.counts().opened == 2 && fixture.runner_client.counts().reused == 0));
@@ -230,7 +230,7 @@
   tcp::socket& socket = fixture.accept();
   fixture.send(socket, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok");
   fixture.run([&] { return observer->outcome.has_value(); });
-  CHECK((observer->outcome == AttemptOutcome::whole && observer->text == "ok"));
+  CHECK((observer->outcome == AttemptOutcome::complete && observer->text == "ok"));
   auto second = fixture.start(fixture.request());
   fixture.receive_request(fixture.accept());
   CHECK(fixture.runner_client.counts().opened == 2);
@@ -307,7 +307,7 @@
   auto late = silent.start(short_limit);
   silent.receive_request(silent.accept());
   silent.run([&] { return late->outcome.has_value(); });
-  CHECK(late->outcome == AttemptOutcome::late);
+  CHECK(late->outcome == AttemptOutcome::timed_out);
 }
 
 TEST_CASE("data of one read is passed on as one chunk, then a pause; a cancelled attempt gets no more calls") {
@@ -341,5 +341,5 @@
   CHECK(observer->text.empty());
   fixture.runner_client.hold(id, false);
   fixture.run([&] { return observer->outcome.has_value(); });
-  CHECK((observer->text == "eight by" && observer->outcome == AttemptOutcome::whole));
+  CHECK((observer->text == "eight by" && observer->outcome == AttemptOutcome::complete));
 }
