--- a/source/coding/dialect.cpp
+++ b/source/coding/dialect.cpp
@@ -36,7 +36,7 @@
 
 void PlainDialect::write_attempt(AttemptRequest&, const RequestInfo&, const AttemptInfo&) const {}
 
-ResponseInfo PlainDialect::read_answer(int, const std::vector<Header>& headers, const RequestInfo&) const {
+ResponseInfo PlainDialect::read_response(int, const std::vector<Header>& headers, const RequestInfo&) const {
   ResponseInfo response;
   if (const auto* connection = header_of(headers, "Connection")) response.closing = same_name(*connection, "close");
   return response;
--- a/source/host/beast_runner_client.cpp
+++ b/source/host/beast_runner_client.cpp
@@ -279,7 +279,7 @@
   if (error || (connection->input_size == connection->input.size() && consumed == 0))
     return finish(connection, AttemptOutcome::broken);
   if (reader.is_done()) return finish(connection, AttemptOutcome::complete);
-  observer->on_pause();
+  observer->on_read_complete();
   if (!still_current()) return;
   if (connection->paused)
     deadlines_.clear(connection->id);
@@ -389,7 +389,7 @@
   finish(connection, connection->connected ? AttemptOutcome::timed_out : AttemptOutcome::not_sent);
 }
 
-void BeastRunnerClient::hold(Id attempt_id, bool paused) {
+void BeastRunnerClient::set_paused(Id attempt_id, bool paused) {
   auto found = attempts_.find(attempt_id);
   if (found == attempts_.end() || found->second->paused == paused) return;
   const ConnectionPointer connection = found->second;
--- a/source/host/beast_runner_client.hpp
+++ b/source/host/beast_runner_client.hpp
@@ -29,7 +29,7 @@
   void cancel(Id attempt_id) override;
   void close_idle(const Address& to, const std::string& runner) override;
   std::size_t connections(const Address& to, const std::string& runner) const override;
-  void hold(Id attempt_id, bool paused) override;
+  void set_paused(Id attempt_id, bool paused) override;
   const RunnerClientCounts& counts() const { return counts_; }
 
  private:
--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -52,7 +52,7 @@
   worker.messenger =
       std::make_unique<Messenger>(*transport_, worker.loop.timers(), settings_.address, self_.incarnation, slice);
   transport_->route(slice, [&worker](Envelope envelope) {
-    worker.loop.offer(
+    worker.loop.try_post(
         [&worker, envelope = std::move(envelope)]() mutable { worker.messenger->receive(std::move(envelope)); });
   });
 }
@@ -121,7 +121,8 @@
   control_ = std::make_unique<Control>(*control_worker_.messenger, shared_state_, control_worker_.loop.random(), self_,
                                        [this] { return load(); });
   if (platform_)
-    platform_api_ = platform_->surface(*control_worker_.messenger, shared_state_, control_worker_.loop.random(), self_);
+    platform_api_ =
+        platform_->make_api(*control_worker_.messenger, shared_state_, control_worker_.loop.random(), self_);
   if (!settings_.callers.empty()) {
     make_messenger(router_worker_, "routes");
     live_runner_client_ = std::make_unique<BeastRunnerClient>(router_worker_.loop.context());
@@ -130,14 +131,15 @@
     http_server_ = std::make_unique<HttpServer>(
         router_worker_.loop.context(), *router_,
         [this](ControlRequest request, ControlReplyCallback answer) {
-          return control_worker_.loop.offer([this, request = std::move(request), answer = std::move(answer)]() mutable {
-            handle(std::move(request), std::move(answer));
-          });
+          return control_worker_.loop.try_post(
+              [this, request = std::move(request), answer = std::move(answer)]() mutable {
+                handle(std::move(request), std::move(answer));
+              });
         },
         max_client_connections(),
         platform_api_ ? HttpServer::ControlRequestFilter(
                             [this](StringView method, StringView target, const std::vector<Header>& headers) {
-                              return platform_api_->takes(method, target, headers);
+                              return platform_api_->is_api_request(method, target, headers);
                             })
                       : HttpServer::ControlRequestFilter());
     router_->serves_while_draining = platform_ != nullptr;
@@ -165,7 +167,7 @@
 
 json::value Daemon::load() {
   std::lock_guard lock(counts_mutex_);
-  const WireCounts& wire = transport_->counts();
+  const TransportCounts& transport_counts = transport_->counts();
   json::object dropped;
   for (Worker* worker : workers_)
     if (worker->messenger && worker->loop.dropped() > 0) dropped[worker->messenger->slice()] = worker->loop.dropped();
@@ -175,11 +177,11 @@
                       {"circle", to_json(circle_counts_)},
                       {"open", open_requests_},
                       {"placed", placed_items_},
-                      {"wire", json::object{{"frames_out", wire.frames_out.load()},
-                                            {"bytes_out", wire.bytes_out.load()},
-                                            {"frames_in", wire.frames_in.load()},
-                                            {"bytes_in", wire.bytes_in.load()},
-                                            {"foreign", wire.invalid_frames.load()}}},
+                      {"wire", json::object{{"frames_out", transport_counts.frames_out.load()},
+                                            {"bytes_out", transport_counts.bytes_out.load()},
+                                            {"frames_in", transport_counts.frames_in.load()},
+                                            {"bytes_in", transport_counts.bytes_in.load()},
+                                            {"foreign", transport_counts.invalid_frames.load()}}},
                       {"store", json::object{{"appends", store_appends_.load()},
                                              {"commits", commits_.load()},
                                              {"counts", to_json(store_counts_)}}},
@@ -191,14 +193,14 @@
              "Serving clients at " + settings_.callers.text + " and operators at " + settings_.control.text + ".");
   transport_->start();
   for (Worker* worker : workers_) worker->loop.start();
-  sessions_worker_.loop.offer([this] { sessions_->start(); });
-  gossip_worker_.loop.offer([this] { gossip_->start(); });
-  if (item_placer_) placing_worker_.loop.offer([this] { item_placer_->start(); });
-  if (router_) router_worker_.loop.offer([this] { router_->start(); });
-  if (store_) store_worker_.loop.offer([this] { store_->start(); });
-  if (circle_) circle_worker_.loop.offer([this] { circle_->start(); });
-  if (lots_) lots_worker_.loop.offer([this] { lots_->start(); });
-  if (runner_list_) listing_worker_.loop.offer([this] { runner_list_->start(); });
+  sessions_worker_.loop.try_post([this] { sessions_->start(); });
+  gossip_worker_.loop.try_post([this] { gossip_->start(); });
+  if (item_placer_) placing_worker_.loop.try_post([this] { item_placer_->start(); });
+  if (router_) router_worker_.loop.try_post([this] { router_->start(); });
+  if (store_) store_worker_.loop.try_post([this] { store_->start(); });
+  if (circle_) circle_worker_.loop.try_post([this] { circle_->start(); });
+  if (lots_) lots_worker_.loop.try_post([this] { lots_->start(); });
+  if (runner_list_) listing_worker_.loop.try_post([this] { runner_list_->start(); });
   boost::asio::signal_set signals(main_, SIGTERM, SIGINT, SIGHUP);
   boost::asio::steady_timer timer(main_);
   TimePoint drain_until{}, drain_began{};
@@ -208,29 +210,29 @@
   std::string last_state;
   std::function<void()> update = [&] {
     if (router_)
-      router_worker_.loop.offer([this] {
+      router_worker_.loop.try_post([this] {
         std::lock_guard lock(counts_mutex_);
         counts_ = router_->counts();
         http_server_counts_ = http_server_->counts();
         open_requests_ = router_->open();
       });
     if (circle_)
-      circle_worker_.loop.offer([this] {
+      circle_worker_.loop.try_post([this] {
         std::lock_guard lock(counts_mutex_);
         circle_counts_ = circle_->counts();
       });
     if (lots_)
-      lots_worker_.loop.offer([this] {
+      lots_worker_.loop.try_post([this] {
         std::lock_guard lock(counts_mutex_);
         lot_counts_ = lots_->counts();
       });
     if (item_placer_)
-      placing_worker_.loop.offer([this] {
+      placing_worker_.loop.try_post([this] {
         std::lock_guard lock(counts_mutex_);
         placed_items_ = item_placer_->open();
       });
     if (store_)
-      store_worker_.loop.offer([this] {
+      store_worker_.loop.try_post([this] {
         store_appends_ = store_->syncs();
         commits_ = store_->commits();
         std::lock_guard lock(counts_mutex_);
@@ -268,7 +270,7 @@
       drain_began = steady_now();
       drain_until = drain_began + settings_.drain + std::chrono::milliseconds(platform_ ? 0 : 400);
       if (router_)
-        router_worker_.loop.offer(
+        router_worker_.loop.try_post(
             [this, end = drain_until + -final_response_time] { router_->set_drain_deadline(end); });
       wait_for_signal();
     });
@@ -282,7 +284,7 @@
 void Daemon::reload_seeds() {
   seeds_reloaded_at_ = steady_now();
   if (!platform_) return;
-  auto seeds = seeds_read_again(settings_, platform_->settings());
+  auto seeds = reloaded_seeds(settings_, platform_->settings());
   if (auto error = error_of(seeds)) {
     const std::string why = error->field + ": " + error->message;
     if (why != refused_settings_)
--- a/source/host/daemon.hpp
+++ b/source/host/daemon.hpp
@@ -31,7 +31,7 @@
  private:
   // The event loop of one component, and its messenger for messages to and from other daemons.
   struct Worker {
-    DutyThread loop;
+    EventLoop loop;
     std::unique_ptr<Messenger> messenger;
     Worker(std::string name, boost::asio::io_context* shared_context) : loop(std::move(name), shared_context) {}
   };
--- a/source/host/event_loop.cpp
+++ b/source/host/event_loop.cpp
@@ -47,7 +47,7 @@
   return mixed ^ (mixed >> 31);
 }
 
-bool DutyThread::offer(Task task) {
+bool EventLoop::try_post(Task task) {
   bool needs_drain = false;
   if (!queue_.try_push(task, needs_drain)) {
     ++dropped_;
@@ -62,7 +62,7 @@
   return true;
 }
 
-void DutyThread::start() {
+void EventLoop::start() {
   if (!own_context_) return;
   thread_ = std::thread([this] {
     pthread_setname_np(pthread_self(), name_.substr(0, 15).c_str());
@@ -70,7 +70,7 @@
   });
 }
 
-void DutyThread::stop() {
+void EventLoop::stop() {
   if (!own_context_) return;
   own_context_->stop();
   if (thread_.joinable()) thread_.join();
--- a/source/host/event_loop.hpp
+++ b/source/host/event_loop.hpp
@@ -37,10 +37,10 @@
 };
 
 // The event loop of one component. Tasks from other threads pass through a bounded queue.
-class DutyThread {
+class EventLoop {
  public:
   // Without a shared context the loop has a context and a thread of its own.
-  explicit DutyThread(std::string name, boost::asio::io_context* shared = nullptr)
+  explicit EventLoop(std::string name, boost::asio::io_context* shared = nullptr)
       : name_(std::move(name)),
         own_context_(shared == nullptr ? std::make_unique<boost::asio::io_context>(1) : nullptr),
         context_(shared == nullptr ? *own_context_ : *shared),
@@ -49,12 +49,12 @@
         queue_(8192) {
     if (own_context_) work_guard_.emplace(own_context_->get_executor());
   }
-  ~DutyThread() { stop(); }
+  ~EventLoop() { stop(); }
   boost::asio::io_context& context() { return context_; }
   AsioTimers& timers() { return timers_; }
   RandomSource& random() { return random_; }
   // Queues a task from any thread. Returns false, and counts the task as dropped, if the queue is full.
-  bool offer(Task task);
+  bool try_post(Task task);
   void start();
   void stop();
   std::uint64_t dropped() const { return dropped_; }
--- a/source/host/file_disk.cpp
+++ b/source/host/file_disk.cpp
@@ -41,10 +41,10 @@
   if (thread_.joinable()) thread_.join();
 }
 
-void FileDisk::order(DiskOrder order) {
+void FileDisk::submit(DiskRequest request) {
   {
     std::lock_guard lock(mutex_);
-    orders_.push_back(std::move(order));
+    requests_.push_back(std::move(order));
   }
   wake_.notify_one();
 }
@@ -52,10 +52,10 @@
 void FileDisk::run() {
   std::unique_lock lock(mutex_);
   while (true) {
-    wake_.wait(lock, [this] { return stopping_ || !orders_.empty(); });
-    if (orders_.empty()) return;
-    auto batch = std::make_shared<std::deque<DiskOrder>>();
-    batch->swap(orders_);
+    wake_.wait(lock, [this] { return stopping_ || !requests_.empty(); });
+    if (requests_.empty()) return;
+    auto batch = std::make_shared<std::deque<DiskRequest>>();
+    batch->swap(requests_);
     lock.unlock();
     execute_([batch, results = files_.execute(*batch)] {
       for (std::size_t index = 0; index < results.size(); ++index) (*batch)[index].done(results[index]);
--- a/source/host/file_disk.hpp
+++ b/source/host/file_disk.hpp
@@ -21,7 +21,7 @@
   Result<Success> open();
   void stop();
   Result<Bytes> read_all() override { return files_.read_all(); }
-  void order(DiskOrder order) override;
+  void submit(DiskRequest request) override;
 
  private:
   void run();
@@ -33,7 +33,7 @@
   int lock_ = -1;
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::deque<DiskOrder> orders_;
+  std::deque<DiskRequest> requests_;
   bool stopping_ = false;
   std::thread thread_;
 };
--- a/source/host/http_client.cpp
+++ b/source/host/http_client.cpp
@@ -12,7 +12,8 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-Result<HttpAnswer> http_call(const Address& to, StringView method, StringView target, StringView body, Duration limit) {
+Result<HttpResponse> http_call(const Address& to, StringView method, StringView target, StringView body,
+                               Duration limit) {
   const auto endpoint = endpoint_of(to);
   if (!endpoint) return Error{ErrorKind::invalid, "address", "'" + to.text + "' is not an address", "give ip:port"};
   boost::asio::io_context context(1);
@@ -46,7 +47,7 @@
     return Error{sent ? ErrorKind::unknown : ErrorKind::lost, "address", "the call to " + to.text + " failed: " + what,
                  "check that the daemon is running, or name another daemon with --control"};
   }
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.status = static_cast<int>(parser.get().result_int());
   for (const auto& field : parser.get()) {
     std::string name(field.name_string());
--- a/source/host/http_client.hpp
+++ b/source/host/http_client.hpp
@@ -4,7 +4,7 @@
 
 namespace mothwalk {
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;
   std::map<std::string, std::string> headers;  // The names are in lower case.
   Bytes body;
@@ -12,6 +12,7 @@
 
 // Sends one request over a new connection and returns the response. The error is of kind `unknown` if the server may
 // have processed the request, and `lost` if no connection was made.
-Result<HttpAnswer> http_call(const Address& to, StringView method, StringView target, StringView body, Duration limit);
+Result<HttpResponse> http_call(const Address& to, StringView method, StringView target, StringView body,
+                               Duration limit);
 
 }  // namespace mothwalk
--- a/source/host/platform_adapter.hpp
+++ b/source/host/platform_adapter.hpp
@@ -14,7 +14,7 @@
  public:
   virtual ~PlatformApi() = default;
   // Whether a request that arrived at the clients' address belongs to this API.
-  virtual bool takes(StringView method, StringView target, const std::vector<Header>& headers) const = 0;
+  virtual bool is_api_request(StringView method, StringView target, const std::vector<Header>& headers) const = 0;
   virtual void handle(ControlRequest request, ControlReplyCallback answer) = 0;
 };
 
@@ -29,8 +29,8 @@
   // The source of the list of runners, or null if this daemon cannot reach one.
   virtual std::unique_ptr<ListSource> list_source() const = 0;
   // Creates the platform's HTTP API.
-  virtual std::unique_ptr<PlatformApi> surface(Messenger& messenger, SharedState& shared_state, RandomSource& random,
-                                               const Member& self) = 0;
+  virtual std::unique_ptr<PlatformApi> make_api(Messenger& messenger, SharedState& shared_state, RandomSource& random,
+                                                const Member& self) = 0;
 };
 
 // The platform that this process runs on, or null. Defined by the adapter that is linked in.
--- a/source/host/posix_volume.cpp
+++ b/source/host/posix_volume.cpp
@@ -86,7 +86,7 @@
   return true;
 }
 
-bool PosixVolume::cut(const std::string& file, std::size_t size) {
+bool PosixVolume::truncate(const std::string& file, std::size_t size) {
   const int opened = descriptor(file);
   return opened >= 0 && ::ftruncate(opened, static_cast<off_t>(size)) == 0;
 }
--- a/source/host/settings.cpp
+++ b/source/host/settings.cpp
@@ -156,7 +156,7 @@
   return line;
 }
 
-Result<std::vector<Address>> seeds_read_again(const Settings& running, const Result<Settings>& reloaded) {
+Result<std::vector<Address>> reloaded_seeds(const Settings& running, const Result<Settings>& reloaded) {
   if (auto error = error_of(reloaded)) return *error;
   const Settings& settings = std::get<Settings>(reloaded);
   if (settings.address != running.address || settings.zone != running.zone)
--- a/source/host/settings.hpp
+++ b/source/host/settings.hpp
@@ -30,7 +30,7 @@
 
 // Returns the seeds of settings that were reloaded while the daemon runs. Settings that are invalid, or whose address
 // or zone differ from the running daemon's, are refused as a whole.
-Result<std::vector<Address>> seeds_read_again(const Settings& running, const Result<Settings>& reloaded);
+Result<std::vector<Address>> reloaded_seeds(const Settings& running, const Result<Settings>& reloaded);
 
 // A parsed command line. With `help` or `version` the settings are not read.
 struct CommandLine {
--- a/source/host/tcp_transport.cpp
+++ b/source/host/tcp_transport.cpp
@@ -136,7 +136,7 @@
   frame.reserve(body.size() + 4);
   for (int shift = 24; shift >= 0; shift -= 8) frame.push_back(static_cast<char>((body.size() >> shift) & 255));
   frame += body;
-  thread_.offer([this, to, frame = std::move(frame)]() mutable { push(to, std::move(frame)); });
+  thread_.try_post([this, to, frame = std::move(frame)]() mutable { push(to, std::move(frame)); });
 }
 
 void TcpTransport::push(const Address& to, Bytes frame) {
--- a/source/host/tcp_transport.hpp
+++ b/source/host/tcp_transport.hpp
@@ -9,7 +9,7 @@
 namespace mothwalk {
 
 // Counts of frames and bytes, and of received frames that are not valid.
-struct WireCounts {
+struct TransportCounts {
   std::atomic<std::uint64_t> frames_out{0}, bytes_out{0}, frames_in{0}, bytes_in{0}, invalid_frames{0};
 };
 
@@ -23,7 +23,7 @@
   void start() { thread_.start(); }
   void stop() { thread_.stop(); }
   void send(const Address& to, Envelope envelope) override;
-  const WireCounts& counts() const { return counts_; }
+  const TransportCounts& counts() const { return counts_; }
 
  private:
   struct OutgoingConnection;
@@ -38,11 +38,11 @@
 
   Address self_;
   std::function<void(StringView)> log_;
-  DutyThread thread_;
+  EventLoop thread_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::map<std::string, std::function<void(Envelope)>> handlers_;
   std::map<Address, std::shared_ptr<OutgoingConnection>> outgoing_;
-  WireCounts counts_;
+  TransportCounts counts_;
 };
 
 // A frame consists of a length of four bytes in big-endian order and an envelope in CBOR. Returns no length if the
--- a/source/interfaces/dialect.hpp
+++ b/source/interfaces/dialect.hpp
@@ -60,8 +60,8 @@
   // Adds the headers that an attempt carries besides the client's, or replaces them.
   virtual void write_attempt(AttemptRequest& request, const RequestInfo& request_info,
                              const AttemptInfo& attempt) const = 0;
-  virtual ResponseInfo read_answer(int status, const std::vector<Header>& headers,
-                                   const RequestInfo& request_info) const = 0;
+  virtual ResponseInfo read_response(int status, const std::vector<Header>& headers,
+                                     const RequestInfo& request_info) const = 0;
   // The name, in lower case, of the event field that announces a change of the model weights in a stream. Empty if
   // events do not announce it.
   virtual StringView version_field() const { return {}; }
@@ -76,8 +76,8 @@
   RequestInfo read_request(const std::vector<Header>& headers) const override;
   void write_attempt(AttemptRequest& request, const RequestInfo& request_info,
                      const AttemptInfo& attempt) const override;
-  ResponseInfo read_answer(int status, const std::vector<Header>& headers,
-                           const RequestInfo& request_info) const override;
+  ResponseInfo read_response(int status, const std::vector<Header>& headers,
+                             const RequestInfo& request_info) const override;
   std::string retry_after(Duration span) const override;
 };
 
--- a/source/interfaces/disk.hpp
+++ b/source/interfaces/disk.hpp
@@ -9,10 +9,10 @@
 namespace mothwalk {
 
 // A request to the disk.
-struct DiskOrder {
+struct DiskRequest {
   enum class Kind {
     append,          // Appends `bytes` to the file and syncs it.
-    cut,             // Truncates the file to `size` bytes.
+    truncate,        // Truncates the file to `size` bytes.
     begin_next,      // Creates an empty next file and discards an unfinished one.
     write_next,      // Appends `bytes` to the next file and syncs it.
     switch_to_next,  // Replaces the file by the next file and syncs the folder.
@@ -32,7 +32,7 @@
   virtual ~Disk() = default;
   // Returns the content of the file.
   virtual Result<Bytes> read_all() = 0;
-  virtual void order(DiskOrder order) = 0;
+  virtual void submit(DiskRequest request) = 0;
 };
 
 // The files of one data folder, with the guarantees of a POSIX file system. Each call returns whether it succeeded. A
@@ -51,7 +51,7 @@
   // Appends the bytes to the file.
   virtual bool write(const std::string& file, StringView bytes) = 0;
   // Truncates the file to `size` bytes.
-  virtual bool cut(const std::string& file, std::size_t size) = 0;
+  virtual bool truncate(const std::string& file, std::size_t size) = 0;
   virtual bool sync(const std::string& file) = 0;
   virtual bool rename(const std::string& from, const std::string& to) = 0;
   virtual bool sync_folder() = 0;
--- a/source/interfaces/interfaces.hpp
+++ b/source/interfaces/interfaces.hpp
@@ -97,7 +97,7 @@
   virtual void on_head(int status, const std::vector<Header>& headers) = 0;
   virtual void on_chunk(StringView chunk) = 0;
   // Called after all data received so far has been passed on, while more is expected.
-  virtual void on_pause() {}
+  virtual void on_read_complete() {}
   // The last call.
   virtual void on_end(AttemptOutcome outcome) = 0;
 };
@@ -116,7 +116,7 @@
   virtual std::size_t connections(const Address& /*to*/, const std::string& /*runner*/) const { return 0; }
   // Pauses or resumes reading from the runner. Data that is already waiting is passed to the observer later, never from
   // within this call.
-  virtual void hold(Id id, bool paused) = 0;
+  virtual void set_paused(Id id, bool paused) = 0;
 };
 
 }  // namespace mothwalk
--- a/source/lots/item_placer.cpp
+++ b/source/lots/item_placer.cpp
@@ -86,7 +86,7 @@
   }
   void on_head(int status, const std::vector<Header>& headers) override {
     status_ = status;
-    response_ = placer_.dialect_.read_answer(status, headers, request_info_);
+    response_ = placer_.dialect_.read_response(status, headers, request_info_);
     if (response_.foreign) return placer_.abort_attempt(attempt_, "lost", 0);
     const bool resumed = part_.last_event > 0;
     // Text of different model weights must not be joined. A runner with other weights refuses to resume with status
--- a/source/operator/main.cpp
+++ b/source/operator/main.cpp
@@ -70,7 +70,7 @@
         if (error->kind != ErrorKind::lost && method != "GET") return last_error;
         continue;
       }
-      const HttpAnswer& response = std::get<HttpAnswer>(reply);
+      const HttpResponse& response = std::get<HttpResponse>(reply);
       auto parsed = parse_json(response.body);
       if (auto error = error_of(parsed)) return *error;
       json::value value = std::get<json::value>(parsed);
--- a/source/replication/log_files.cpp
+++ b/source/replication/log_files.cpp
@@ -22,27 +22,27 @@
   return bytes;
 }
 
-std::vector<bool> LogFiles::execute(const std::deque<DiskOrder>& orders) {
+std::vector<bool> LogFiles::execute(const std::deque<DiskRequest>& orders) {
   std::vector<bool> results;
   for (std::size_t index = 0; index < orders.size();) {
-    const DiskOrder& order = orders[index];
+    const DiskRequest& order = orders[index];
     switch (order.kind) {
-      case DiskOrder::Kind::append:
+      case DiskRequest::Kind::append:
         index = append_batch(orders, index, results);
         continue;
-      case DiskOrder::Kind::cut:
+      case DiskRequest::Kind::truncate:
         results.push_back(truncate(order.size));
         break;
-      case DiskOrder::Kind::begin_next:
+      case DiskRequest::Kind::begin_next:
         results.push_back(create_next());
         break;
-      case DiskOrder::Kind::write_next:
+      case DiskRequest::Kind::write_next:
         results.push_back(write_next(order.bytes));
         break;
-      case DiskOrder::Kind::switch_to_next:
+      case DiskRequest::Kind::switch_to_next:
         results.push_back(switch_to_next());
         break;
-      case DiskOrder::Kind::drop_next:
+      case DiskRequest::Kind::drop_next:
         results.push_back(drop_next());
         break;
     }
@@ -51,10 +51,11 @@
   return results;
 }
 
-std::size_t LogFiles::append_batch(const std::deque<DiskOrder>& orders, std::size_t first, std::vector<bool>& results) {
+std::size_t LogFiles::append_batch(const std::deque<DiskRequest>& orders, std::size_t first,
+                                   std::vector<bool>& results) {
   Bytes combined;
   std::size_t end = first;
-  for (; end < orders.size() && orders[end].kind == DiskOrder::Kind::append; ++end) combined += orders[end].bytes;
+  for (; end < orders.size() && orders[end].kind == DiskRequest::Kind::append; ++end) combined += orders[end].bytes;
   results.insert(results.end(), end - first, append(combined));
   return end;
 }
@@ -67,12 +68,12 @@
   }
   // The bytes may be on disk completely, in part, or only in memory. A later start must not read them as durable.
   failed_ = true;
-  volume_.cut(current_file, synced_);
+  volume_.truncate(current_file, synced_);
   return false;
 }
 
 bool LogFiles::truncate(std::size_t size) {
-  failed_ = failed_ || !volume_.cut(current_file, size);
+  failed_ = failed_ || !volume_.truncate(current_file, size);
   if (!failed_) synced_ = size;
   return !failed_;
 }
--- a/source/replication/log_files.hpp
+++ b/source/replication/log_files.hpp
@@ -16,10 +16,10 @@
   bool open();
   Result<Bytes> read_all();
   // Executes the orders, with one sync for consecutive appends. Returns for each order whether it succeeded.
-  std::vector<bool> execute(const std::deque<DiskOrder>& orders);
+  std::vector<bool> execute(const std::deque<DiskRequest>& orders);
 
  private:
-  std::size_t append_batch(const std::deque<DiskOrder>& orders, std::size_t first, std::vector<bool>& results);
+  std::size_t append_batch(const std::deque<DiskRequest>& orders, std::size_t first, std::vector<bool>& results);
   bool append(StringView bytes);
   bool truncate(std::size_t size);
   bool create_next();
--- a/source/replication/record_log.cpp
+++ b/source/replication/record_log.cpp
@@ -43,18 +43,18 @@
   failed_ = file.damaged;
   if (failed_) return begin_compaction();
   if (!file.torn) return;
-  DiskOrder truncation{DiskOrder::Kind::cut, {}, file.valid_bytes, [this](bool succeeded) {
-                         failed_ = failed_ || !succeeded;
-                       }};
-  disk_.order(std::move(truncation));
+  DiskRequest truncation{DiskRequest::Kind::truncate, {}, file.valid_bytes, [this](bool succeeded) {
+                           failed_ = failed_ || !succeeded;
+                         }};
+  disk_.submit(std::move(truncation));
 }
 
-void RecordLog::submit(DiskOrder::Kind kind, Bytes bytes, std::function<void(bool)> done) {
+void RecordLog::submit(DiskRequest::Kind kind, Bytes bytes, std::function<void(bool)> done) {
   outstanding_.push_back(timers_.now());
-  disk_.order(DiskOrder{kind, std::move(bytes), 0, [this, done = std::move(done)](bool succeeded) {
-                          outstanding_.pop_front();
-                          done(succeeded);
-                        }});
+  disk_.submit(DiskRequest{kind, std::move(bytes), 0, [this, done = std::move(done)](bool succeeded) {
+                             outstanding_.pop_front();
+                             done(succeeded);
+                           }});
 }
 
 void RecordLog::append(const DiskEntry& entry, std::function<void()> then) {
@@ -72,7 +72,7 @@
 
 void RecordLog::submit_append(Bytes frame, std::function<void()> then) {
   const std::size_t size = frame.size();
-  submit(DiskOrder::Kind::append, std::move(frame), [this, size, then = std::move(then)](bool succeeded) {
+  submit(DiskRequest::Kind::append, std::move(frame), [this, size, then = std::move(then)](bool succeeded) {
     failed_ = failed_ || !succeeded;
     if (!succeeded) return;
     synced_ += size;
@@ -117,7 +117,7 @@
   // After a failed append the file accepts nothing more, and only a new file makes the disk usable again.
   if (phase_ != Phase::writing || failed_ || fits) return false;
   phase_ = Phase::dropping;
-  submit(DiskOrder::Kind::drop_next, {}, [this](bool) {
+  submit(DiskRequest::Kind::drop_next, {}, [this](bool) {
     finish_compaction(false);
     compaction_not_before_ = timers_.now() + abandoned_compaction_pause;
   });
@@ -134,7 +134,7 @@
   pending_frames_.clear();
   next_size_ = next_synced_ = 0;
   for (const auto& entry : contents_.header()) queue_for_next(entry);
-  submit(DiskOrder::Kind::begin_next, {}, [this](bool succeeded) {
+  submit(DiskRequest::Kind::begin_next, {}, [this](bool succeeded) {
     if (phase_ != Phase::writing) return;
     succeeded ? write_next_chunk() : finish_compaction(false);
   });
@@ -166,7 +166,7 @@
 void RecordLog::submit_chunk(Bytes chunk) {
   const std::size_t size = chunk.size();
   next_size_ += size;
-  submit(DiskOrder::Kind::write_next, std::move(chunk), [this, size](bool succeeded) {
+  submit(DiskRequest::Kind::write_next, std::move(chunk), [this, size](bool succeeded) {
     next_synced_ += size;
     if (phase_ != Phase::writing) return;
     succeeded ? write_next_chunk() : finish_compaction(false);
@@ -179,7 +179,7 @@
   phase_ = Phase::switching;
   const std::size_t before = size_;
   size_ = next_size_;
-  submit(DiskOrder::Kind::switch_to_next, {}, [this, before](bool succeeded) {
+  submit(DiskRequest::Kind::switch_to_next, {}, [this, before](bool succeeded) {
     if (succeeded)
       synced_ = size_after_compaction_ = next_size_;
     else
--- a/source/replication/record_log.hpp
+++ b/source/replication/record_log.hpp
@@ -61,7 +61,7 @@
   void submit_switch();
   void finish_compaction(bool succeeded);
   void queue_for_next(const DiskEntry& entry);
-  void submit(DiskOrder::Kind kind, Bytes bytes, std::function<void(bool)> done);
+  void submit(DiskRequest::Kind kind, Bytes bytes, std::function<void(bool)> done);
 
   Disk& disk_;
   Timers& timers_;
--- a/source/routes/router_answers.cpp
+++ b/source/routes/router_answers.cpp
@@ -21,7 +21,7 @@
   auto entry = requests_.find(id);
   if (entry == requests_.end() || entry->second.attempt != attempt || entry->second.state != State::sent) return;
   Record& record = entry->second;
-  const ResponseInfo response = dialect_.read_answer(status, headers, record.info);
+  const ResponseInfo response = dialect_.read_response(status, headers, record.info);
   runner_table_.response_received(record.runner, record.demand, false);
   if (response.load) runner_table_.update_load(record.runner, *response.load);
   if (response.foreign) {
@@ -115,7 +115,7 @@
   if (record.backlog <= pause_backlog || record.paused_since) return;
   record.paused_since = messenger_.timers().now();
   paused_.insert(id);
-  runner_client_.hold(record.attempt_handle, true);
+  runner_client_.set_paused(record.attempt_handle, true);
   arm_tick();
 }
 
@@ -144,7 +144,7 @@
   if (backlog <= resume_backlog) {
     record.paused_since.reset();
     paused_.erase(record.id);
-    runner_client_.hold(record.attempt_handle, false);
+    runner_client_.set_paused(record.attempt_handle, false);
     return true;
   }
   return now - *record.paused_since < record.lane.taking;
--- a/source/routes/router_sending.cpp
+++ b/source/routes/router_sending.cpp
@@ -27,7 +27,7 @@
     router_.on_attempt_head(id_, attempt_, status, headers);
   }
   void on_chunk(StringView chunk) override { router_.on_attempt_chunk(id_, attempt_, chunk); }
-  void on_pause() override { router_.on_attempt_pause(id_, attempt_); }
+  void on_read_complete() override { router_.on_attempt_pause(id_, attempt_); }
   void on_end(AttemptOutcome end) override { router_.on_attempt_end(id_, attempt_, end); }
 
  private:
--- a/source/scale/loopback.cpp
+++ b/source/scale/loopback.cpp
@@ -33,7 +33,7 @@
  public:
   Id start(const AttemptRequest&, std::shared_ptr<AttemptObserver>) override { return 0; }
   void cancel(Id) override {}
-  void hold(Id, bool) override {}
+  void set_paused(Id, bool) override {}
 };
 
 Address place(const LoopbackSize& size, std::size_t number, std::size_t side) {
@@ -81,7 +81,7 @@
       Messenger& messenger = *(posts_[slice] = std::make_unique<Messenger>(transport_, thread_.timers(), self.address,
                                                                            self.incarnation, slice));
       transport_.route(slice, [this, &messenger](Envelope envelope) {
-        thread_.offer(
+        thread_.try_post(
             [&messenger, envelope = std::move(envelope)]() mutable { messenger.receive(std::move(envelope)); });
       });
     }
@@ -92,7 +92,7 @@
   }
   Result<Success> start() {
     if (auto listening = transport_.listen(); error_of(listening)) return listening;
-    thread_.offer([this] {
+    thread_.try_post([this] {
       sessions_->start();
       news_->start();
       entries_->start();
@@ -103,20 +103,20 @@
     Write request;
     request.key = key;
     request.head = text;
-    thread_.offer([this, request, then] { client_->write(request, seconds(10), then); });
+    thread_.try_post([this, request, then] { client_->write(request, seconds(10), then); });
   }
   void tell_runners(const RunnerListing& listing) {
-    thread_.offer([this, listing] {
+    thread_.try_post([this, listing] {
       posts_["scale"]->send(posts_["scale"]->self(),
                             PushUpdates{{ConfigurationUpdate{std::string(listing_key), Stamp{Epoch{1}, Version{1}},
                                                              false, to_cbor(listing)}}});
     });
   }
-  const WireCounts& counts() const { return transport_.counts(); }
+  const TransportCounts& counts() const { return transport_.counts(); }
   SharedState shared_state;
 
  private:
-  DutyThread thread_;
+  EventLoop thread_;
   TcpTransport transport_;
   NoExchange runner_client_;
   std::map<std::string, std::unique_ptr<Messenger>> posts_;
--- a/source/simulate/simulated_runner_client.cpp
+++ b/source/simulate/simulated_runner_client.cpp
@@ -298,7 +298,7 @@
   for (auto& [id, attempt] : attempts_) attempt->undelivered.clear();
 }
 
-void SimulatedRunnerClient::hold(Id id, bool held) {
+void SimulatedRunnerClient::set_paused(Id id, bool held) {
   auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   const AttemptPointer attempt = found->second;
--- a/source/simulate/simulated_runner_client.hpp
+++ b/source/simulate/simulated_runner_client.hpp
@@ -44,7 +44,7 @@
   void cancel(Id id) override;
   void close_idle(const Address& to, const std::string& runner) override;
   std::size_t connections(const Address& to, const std::string& runner) const override;
-  void hold(Id id, bool held) override;
+  void set_paused(Id id, bool held) override;
 
  private:
   struct Attempt {
--- a/source/simulate/simulated_volume.cpp
+++ b/source/simulate/simulated_volume.cpp
@@ -63,7 +63,7 @@
   return fitting.size() == bytes.size();
 }
 
-bool SimulatedVolume::cut(const std::string& file, std::size_t size) {
+bool SimulatedVolume::truncate(const std::string& file, std::size_t size) {
   auto found = names_.find(file);
   if (!begin_operation() || found == names_.end()) return false;
   File& target = *found->second;
--- a/source/simulate/simulated_volume.hpp
+++ b/source/simulate/simulated_volume.hpp
@@ -17,7 +17,7 @@
   bool create(const std::string& file) override;
   bool remove(const std::string& file) override;
   bool write(const std::string& file, StringView bytes) override;
-  bool cut(const std::string& file, std::size_t size) override;
+  bool truncate(const std::string& file, std::size_t size) override;
   bool sync(const std::string& file) override;
   bool rename(const std::string& from, const std::string& to) override;
   bool sync_folder() override;
--- a/source/simulate/world.cpp
+++ b/source/simulate/world.cpp
@@ -96,7 +96,7 @@
 void SimulatedDisk::own(LifePointer life) {
   life_ = std::move(life);
   busy_ = false;
-  orders_.clear();
+  requests_.clear();
   syncing_.clear();
   log_files_ = std::make_unique<LogFiles>(volume_);
   log_files_->open();
@@ -108,23 +108,24 @@
   return log_files_->read_all();
 }
 
-void SimulatedDisk::pass_fault_point(const DiskOrder& order, bool done) {
-  if (order.kind == DiskOrder::Kind::append) world_.pass_fault_point(done ? "synced" : "append", machine_name_);
-  if (order.kind == DiskOrder::Kind::write_next) world_.pass_fault_point(done ? "rewritten" : "rewrite", machine_name_);
-  if (order.kind == DiskOrder::Kind::switch_to_next)
+void SimulatedDisk::pass_fault_point(const DiskRequest& request, bool done) {
+  if (request.kind == DiskRequest::Kind::append) world_.pass_fault_point(done ? "synced" : "append", machine_name_);
+  if (request.kind == DiskRequest::Kind::write_next)
+    world_.pass_fault_point(done ? "rewritten" : "rewrite", machine_name_);
+  if (request.kind == DiskRequest::Kind::switch_to_next)
     world_.pass_fault_point(done ? "switched" : "switch", machine_name_);
 }
 
-void SimulatedDisk::order(DiskOrder order) {
-  pass_fault_point(order, false);
-  orders_.push_back(std::move(order));
+void SimulatedDisk::submit(DiskRequest request) {
+  pass_fault_point(request, false);
+  requests_.push_back(std::move(request));
   if (!busy_) begin_sync();
 }
 
-// One sync covers all orders that were given before it begins, as in the daemon's own disk (host/file_disk.cpp).
+// One sync covers all requests that were submitted before it begins, as in the daemon's own disk (host/file_disk.cpp).
 void SimulatedDisk::begin_sync() {
   busy_ = true;
-  syncing_.swap(orders_);
+  syncing_.swap(requests_);
   world_.at(Duration(sync_time.count() / 2 +
                      static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(sync_time.count())))),
             life_, [this] { complete_sync(); });
@@ -133,7 +134,7 @@
 void SimulatedDisk::complete_sync() {
   if (stalled) return world_.at(std::chrono::milliseconds(50), life_, [this] { complete_sync(); });
   const LifePointer life = life_;
-  const std::deque<DiskOrder> executed = std::exchange(syncing_, {});
+  const std::deque<DiskRequest> executed = std::exchange(syncing_, {});
   const std::vector<bool> results = log_files_->execute(executed);
   for (std::size_t index = 0; index < executed.size(); ++index) {
     if (results[index]) pass_fault_point(executed[index], true);
@@ -141,7 +142,7 @@
     if (!life->alive) return;
   }
   busy_ = false;
-  if (!orders_.empty()) begin_sync();
+  if (!requests_.empty()) begin_sync();
 }
 
 // A random number of the first steps of the sync in progress is executed; then any part of the unsynced data is lost.
--- a/source/simulate/world.hpp
+++ b/source/simulate/world.hpp
@@ -134,7 +134,7 @@
   // Opens the disk for a new process.
   void own(LifePointer life);
   Result<Bytes> read_all() override;
-  void order(DiskOrder order) override;
+  void submit(DiskRequest request) override;
   void crash();  // Called when the process has died.
   void wipe() { volume_.wipe(); }
   // Corrupts one byte at a third of the record file.
@@ -154,14 +154,14 @@
  private:
   void begin_sync();
   void complete_sync();
-  void pass_fault_point(const DiskOrder& order, bool done);
+  void pass_fault_point(const DiskRequest& order, bool done);
   World& world_;
   std::string machine_name_;
   LifePointer life_;
   SimulatedVolume volume_;
   std::unique_ptr<LogFiles> log_files_;
   bool busy_ = false;
-  std::deque<DiskOrder> orders_, syncing_;  // Orders that wait, and orders in the sync in progress.
+  std::deque<DiskRequest> requests_, syncing_;  // Orders that wait, and orders in the sync in progress.
 };
 
 }  // namespace mothwalk::simulate
--- a/source/stand_ins/fleet.cpp
+++ b/source/stand_ins/fleet.cpp
@@ -174,8 +174,8 @@
 
 std::optional<json::value> Fleet::get_json(std::size_t machine, const std::string& target) {
   auto response = http_call(shape.machines[machine].control_address, "GET", target, "", std::chrono::seconds(5));
-  if (error_of(response) || std::get<HttpAnswer>(response).status != 200) return std::nullopt;
-  auto parsed = parse_json(std::get<HttpAnswer>(response).body);
+  if (error_of(response) || std::get<HttpResponse>(response).status != 200) return std::nullopt;
+  auto parsed = parse_json(std::get<HttpResponse>(response).body);
   if (error_of(parsed)) return std::nullopt;
   return std::get<json::value>(parsed);
 }
@@ -185,17 +185,17 @@
   std::uint64_t version = 0;
   auto current = http_call(shape.machines[machine].control_address, "GET", path, "", std::chrono::seconds(6));
   if (error_of(current)) return false;
-  if (std::get<HttpAnswer>(current).status == 200) {
-    auto parsed = parse_json(std::get<HttpAnswer>(current).body);
+  if (std::get<HttpResponse>(current).status == 200) {
+    auto parsed = parse_json(std::get<HttpResponse>(current).body);
     if (error_of(parsed)) return false;
     version = std::get<json::value>(parsed).at("version").to_number<std::uint64_t>();
-  } else if (std::get<HttpAnswer>(current).status != 404) {
+  } else if (std::get<HttpResponse>(current).status != 404) {
     return false;
   }
   auto response =
       http_call(shape.machines[machine].control_address, "PUT", path + "?version=" + std::to_string(version),
                 json::serialize(spec), std::chrono::seconds(8));
-  return !error_of(response) && std::get<HttpAnswer>(response).status == 200;
+  return !error_of(response) && std::get<HttpResponse>(response).status == 200;
 }
 
 bool Fleet::is_serving(std::size_t machine) {
--- a/source/stand_ins/platform.cpp
+++ b/source/stand_ins/platform.cpp
@@ -60,7 +60,7 @@
   const MachineShape& machine = fleet.shape.machines[1];
   auto response_status = [&](const Address& address, StringView method, const std::string& target, StringView body) {
     auto response = http_call(address, method, target, body, std::chrono::seconds(30));
-    return error_of(response) ? 0 : std::get<HttpAnswer>(response).status;
+    return error_of(response) ? 0 : std::get<HttpResponse>(response).status;
   };
   exchange_bytes(machine.address, std::string("\xff\xff\xff\xff nonsense", 13));
   exchange_bytes(machine.address, std::string("\0\0\0\x05hello", 9));
@@ -94,8 +94,8 @@
   for (const auto& runner : fleet.shape.runners)
     response_status(runner.control_address, "POST", "/stand-in/mode/nonsense", "");
   auto nonsense_response = http_call(machine.client_address, "POST", "/audits", "x", std::chrono::seconds(30));
-  check(!error_of(nonsense_response) && std::get<HttpAnswer>(nonsense_response).status == 502 &&
-            std::get<HttpAnswer>(nonsense_response).headers["x-mothwalk-outcome"] == "unknown",
+  check(!error_of(nonsense_response) && std::get<HttpResponse>(nonsense_response).status == 502 &&
+            std::get<HttpResponse>(nonsense_response).headers["x-mothwalk-outcome"] == "unknown",
         "a runner's nonsense is a bad gateway, marked unknown");
   for (const auto& runner : fleet.shape.runners)
     response_status(runner.control_address, "POST", "/stand-in/mode/sound", "");
@@ -123,8 +123,8 @@
     // The HTTP client of this program sends a request through each daemon.
     auto response = http_call(fleet.shape.machines[machine].client_address, "POST", "/audits", "a receipt",
                               std::chrono::seconds(30));
-    const bool passed = !error_of(response) && std::get<HttpAnswer>(response).status == 200 &&
-                        std::get<HttpAnswer>(response).headers["x-mothwalk-outcome"] == "answer";
+    const bool passed = !error_of(response) && std::get<HttpResponse>(response).status == 200 &&
+                        std::get<HttpResponse>(response).headers["x-mothwalk-outcome"] == "answer";
     check(passed, "daemon " + std::to_string(machine) + " carried a request to a runner");
   }
   const pid_t load_generator = fleet.start_process(
@@ -152,11 +152,12 @@
   const std::string path = "/v1/resources/lane/audits";
   auto stale_response = http_call(fleet.shape.machines[2].control_address, "PUT", path + "?version=0",
                                   R"({"path":"/audits","kind":"model"})", std::chrono::seconds(10));
-  check(!error_of(stale_response) && std::get<HttpAnswer>(stale_response).status == 412, "a stale version is refused");
+  check(!error_of(stale_response) && std::get<HttpResponse>(stale_response).status == 412,
+        "a stale version is refused");
   auto faulty_response = http_call(fleet.shape.machines[2].control_address, "PUT", path + "?version=1",
                                    R"({"path":"/audits","kind":"model","retires":2})", std::chrono::seconds(10));
-  check(!error_of(faulty_response) && std::get<HttpAnswer>(faulty_response).status == 400 &&
-            std::get<HttpAnswer>(faulty_response).body.find("retires") != std::string::npos,
+  check(!error_of(faulty_response) && std::get<HttpResponse>(faulty_response).status == 400 &&
+            std::get<HttpResponse>(faulty_response).body.find("retires") != std::string::npos,
         "an unknown field is refused by its name");
   check_bad_input(fleet);
   // All daemons are killed and started again.
@@ -168,7 +169,7 @@
           auto response =
               http_call(fleet.shape.machines[3].client_address, "GET", "/lots", "", std::chrono::seconds(10));
           if (error_of(response)) return false;
-          auto parsed = parse_json(std::get<HttpAnswer>(response).body);
+          auto parsed = parse_json(std::get<HttpResponse>(response).body);
           if (error_of(parsed) || !std::get<json::value>(parsed).as_object().contains("lots")) return false;
           return std::get<json::value>(parsed).at("lots").as_array().size() == 4;
         }),
@@ -299,7 +300,7 @@
                          for (const auto& machine : fleet.shape.machines) {
                            auto response =
                                http_call(machine.client_address, "POST", path, "hello", std::chrono::seconds(5));
-                           if (error_of(response) || std::get<HttpAnswer>(response).status != 200) return false;
+                           if (error_of(response) || std::get<HttpResponse>(response).status != 200) return false;
                          }
                          return true;
                        }),
@@ -324,7 +325,7 @@
   for (const auto& runner : fleet.shape.runners) {
     auto response = http_call(runner.control_address, "GET", "/stand-in/stats", "", std::chrono::seconds(5));
     if (!check(!error_of(response), "runner " + runner.name + " tells its counts")) continue;
-    auto parsed = parse_json(std::get<HttpAnswer>(response).body);
+    auto parsed = parse_json(std::get<HttpResponse>(response).body);
     if (error_of(parsed) || runner.connections == 0) continue;
     const json::value& counts = std::get<json::value>(parsed);
     reset_connections += counts.at("resets").to_number<std::uint64_t>();
--- a/tests/dialect_router_test.cpp
+++ b/tests/dialect_router_test.cpp
@@ -424,13 +424,13 @@
 
 TEST_CASE("a daemon that knows no lanes at all does not answer that a path has no lane") {
   HeaderDialectFixture fixture;
-  const ConfigurationView whole = fixture.view;
+  const ConfigurationView complete_view = fixture.view;
   fixture.shared_state.configuration.set(ConfigurationView{});
   auto seen = fixture.send_request("/pay", {});
   fixture.wait(std::chrono::milliseconds(200));
   CHECK(seen->status == 0);
   EXPECT_ATTEMPTS(fixture, 1);
-  fixture.shared_state.configuration.set(whole);
+  fixture.shared_state.configuration.set(complete_view);
   fixture.wait(std::chrono::milliseconds(40));
   CHECK(fixture.attempts.size() == 1);
 }
--- a/tests/fuzz/http.cpp
+++ b/tests/fuzz/http.cpp
@@ -90,7 +90,7 @@
       is_request ? read_and_compare<true>(message, chunk_size) : read_and_compare<false>(message, chunk_size);
   if (!result.header_done) return;
   if (is_request) return read_request_headers(result.headers);
-  platform::PlatformHeaderCodec().read_answer(result.status, result.headers, RequestInfo{});
+  platform::PlatformHeaderCodec().read_response(result.status, result.headers, RequestInfo{});
   EventReader events;
   Bytes out;
   events.begin(std::nullopt);
--- a/tests/header_dialect_fixture.hpp
+++ b/tests/header_dialect_fixture.hpp
@@ -25,7 +25,7 @@
     if (!attempt.version.empty()) request.headers.push_back({"Expected", attempt.version});
     if (attempt.last_event) request.headers.push_back({"After", std::to_string(*attempt.last_event)});
   }
-  ResponseInfo read_answer(int status, const std::vector<Header>& headers, const RequestInfo& info) const override {
+  ResponseInfo read_response(int status, const std::vector<Header>& headers, const RequestInfo& info) const override {
     ResponseInfo response;
     response.not_run = header_of(headers, "Not-Run") != nullptr || status == 421;
     response.other_instance = status == 421;
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -27,7 +27,7 @@
  public:
   Id start(const AttemptRequest&, std::shared_ptr<AttemptObserver>) override { return 1; }
   void cancel(Id) override {}
-  void hold(Id, bool) override {}
+  void set_paused(Id, bool) override {}
 };
 
 class NullTransport : public Transport {
@@ -47,10 +47,10 @@
   auto count = [&](bool done) {
     succeeded += done;
   };
-  disk.order(DiskOrder{DiskOrder::Kind::begin_next, {}, 0, count});
-  disk.order(DiskOrder{DiskOrder::Kind::write_next, "fresh", 0, count});
-  disk.order(DiskOrder{DiskOrder::Kind::switch_to_next, {}, 0, count});
-  disk.order(DiskOrder{DiskOrder::Kind::append, " and more", 0, count});
+  disk.submit(DiskRequest{DiskRequest::Kind::begin_next, {}, 0, count});
+  disk.submit(DiskRequest{DiskRequest::Kind::write_next, "fresh", 0, count});
+  disk.submit(DiskRequest{DiskRequest::Kind::switch_to_next, {}, 0, count});
+  disk.submit(DiskRequest{DiskRequest::Kind::append, " and more", 0, count});
   disk.stop();
   CHECK(succeeded == 4);
   CHECK(std::get<Bytes>(disk.read_all()) == "fresh and more");
--- a/tests/log_files_test.cpp
+++ b/tests/log_files_test.cpp
@@ -25,19 +25,19 @@
 struct Writer {
   explicit Writer(SimulatedVolume& volume) : volume_(volume), files_(volume) {}
 
-  // Queues disk orders and executes them all when run() is called.
+  // Queues disk requests and executes them all when run() is called.
   struct DirectDisk : Disk {
     explicit DirectDisk(LogFiles& files) : files_(files) {}
     Result<Bytes> read_all() override { return files_.read_all(); }
-    void order(DiskOrder order) override { orders.push_back(std::move(order)); }
+    void submit(DiskRequest request) override { requests.push_back(std::move(request)); }
     bool run() {
-      const std::deque<DiskOrder> batch = std::exchange(orders, {});
+      const std::deque<DiskRequest> batch = std::exchange(requests, {});
       const std::vector<bool> results = files_.execute(batch);
       for (std::size_t index = 0; index < batch.size(); ++index) batch[index].done(results[index]);
       return !batch.empty();
     }
     LogFiles& files_;
-    std::deque<DiskOrder> orders;
+    std::deque<DiskRequest> requests;
   };
 
   RecordLog::Contents contents() {
@@ -208,8 +208,8 @@
   writer.disk.run();
   writer.log.tick();
   std::size_t chunks = 0, largest = 0;
-  for (int turn = 0; !writer.disk.orders.empty(); ++turn) {
-    for (const auto& order : writer.disk.orders) largest = std::max(largest, order.bytes.size());
+  for (int turn = 0; !writer.disk.requests.empty(); ++turn) {
+    for (const auto& request : writer.disk.requests) largest = std::max(largest, request.bytes.size());
     ++chunks;
     const int between = 100000 + turn;
     writer.write(between);
@@ -330,7 +330,7 @@
   while (limited.log.file_size() < (24u << 20)) limited.append_megabyte();
   limited.disk.run();
   limited.log.tick();
-  REQUIRE_FALSE(limited.disk.orders.empty());
+  REQUIRE_FALSE(limited.disk.requests.empty());
   // Many more appends come during the compaction than there is room for.
   while (limited.log.file_size() < (36u << 20)) {
     limited.append_megabyte();
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -215,8 +215,8 @@
     if (!attempt.version.empty()) request.headers.push_back({"Expected", attempt.version});
     if (attempt.last_event) request.headers.push_back({"After", std::to_string(*attempt.last_event)});
   }
-  ResponseInfo read_answer(int status, const std::vector<Header>& headers,
-                           const RequestInfo& request_info) const override {
+  ResponseInfo read_response(int status, const std::vector<Header>& headers,
+                             const RequestInfo& request_info) const override {
     ResponseInfo response;
     response.not_run = header_of(headers, "Not-Run") != nullptr;
     if (const auto* id = header_of(headers, "Id")) response.foreign = *id != request_info.id;
@@ -244,7 +244,7 @@
     return attempts.size();
   }
   void cancel(Id id) override { attempts[id - 1].cancelled = true; }
-  void hold(Id, bool) override {}
+  void set_paused(Id, bool) override {}
   std::deque<Attempt> attempts;
 };
 
--- a/tests/model/disk.cpp
+++ b/tests/model/disk.cpp
@@ -61,11 +61,11 @@
   synced_file_.apply(synced_);
 }
 
-void ModelDisk::order(DiskOrder order) {
-  if (order.kind == DiskOrder::Kind::append) ordered_.apply(order.bytes);
+void ModelDisk::submit(DiskRequest request) {
+  if (request.kind == DiskRequest::Kind::append) ordered_.apply(request.bytes);
   if (acknowledges_early)
-    scheduler_.after(Duration{0}, process_, [done = std::exchange(order.done, [](bool) {})] { done(true); });
-  waiting_.push_back(std::move(order));
+    scheduler_.after(Duration{0}, process_, [done = std::exchange(request.done, [](bool) {})] { done(true); });
+  waiting_.push_back(std::move(request));
   if (!busy_) begin();
 }
 
@@ -78,26 +78,26 @@
 void ModelDisk::complete() {
   const ProcessPointer process = process_;
   while (!syncing_.empty()) {
-    const DiskOrder order = std::move(syncing_.front());
+    const DiskRequest request = std::move(syncing_.front());
     syncing_.pop_front();
-    write(order);
-    order.done(true);
+    write(request);
+    request.done(true);
     if (!process->alive) return;
   }
   busy_ = false;
   if (!waiting_.empty()) begin();
 }
 
-void ModelDisk::write(const DiskOrder& order) {
-  using Kind = DiskOrder::Kind;
-  if (order.kind == Kind::append) {
-    synced_ += order.bytes;
-    return synced_file_.apply(order.bytes);
+void ModelDisk::write(const DiskRequest& request) {
+  using Kind = DiskRequest::Kind;
+  if (request.kind == Kind::append) {
+    synced_ += request.bytes;
+    return synced_file_.apply(request.bytes);
   }
-  if (order.kind == Kind::cut) synced_.resize(std::min(order.size, synced_.size()));
-  if (order.kind == Kind::begin_next) next_.clear();
-  if (order.kind == Kind::write_next) next_ += order.bytes;
-  if (order.kind != Kind::switch_to_next) return;
+  if (request.kind == Kind::truncate) synced_.resize(std::min(request.size, synced_.size()));
+  if (request.kind == Kind::begin_next) next_.clear();
+  if (request.kind == Kind::write_next) next_ += request.bytes;
+  if (request.kind != Kind::switch_to_next) return;
   synced_ = std::exchange(next_, {});
   synced_file_ = DecodedFile{};
   synced_file_.apply(synced_);
@@ -106,16 +106,16 @@
 void ModelDisk::crash(std::uint32_t mask) {
   std::size_t lost_bytes = 0;
   for (std::size_t index = 0; index < syncing_.size(); ++index) {
-    const DiskOrder& order = syncing_[index];
-    const bool appends = order.kind == DiskOrder::Kind::append;
+    const DiskRequest& request = syncing_[index];
+    const bool appends = request.kind == DiskRequest::Kind::append;
     if ((mask >> (index % 16) & 1) == 0) {
       if (!appends)
         break;  // Only appends can be skipped: the steps of a rewrite and a truncation take effect in order.
-      lost_bytes += order.bytes.size();
+      lost_bytes += request.bytes.size();
       continue;
     }
     if (appends) synced_.append(std::exchange(lost_bytes, 0), '\0');
-    write(order);
+    write(request);
   }
   syncing_.clear();
   waiting_.clear();
--- a/tests/model/disk.hpp
+++ b/tests/model/disk.hpp
@@ -29,7 +29,7 @@
  public:
   explicit ModelDisk(Scheduler& scheduler) : scheduler_(scheduler) {}
   Result<Bytes> read_all() override { return synced_; }
-  void order(DiskOrder order) override;
+  void submit(DiskRequest request) override;
 
   void attach(ProcessPointer process);
   // Ends the process. Bit n of the mask says whether write n of the sync in progress is kept. An append that is lost
@@ -45,14 +45,14 @@
  private:
   void begin();
   void complete();
-  void write(const DiskOrder& order);
+  void write(const DiskRequest& order);
 
   Scheduler& scheduler_;
   ProcessPointer process_;
   Bytes synced_, next_;  // the file, and the new file that a rewrite prepares
   DecodedFile ordered_, synced_file_;
   bool busy_ = false;
-  std::deque<DiskOrder> waiting_, syncing_;
+  std::deque<DiskRequest> waiting_, syncing_;
 };
 
 }  // namespace mothwalk::model
--- a/tests/platform_freshness_test.cpp
+++ b/tests/platform_freshness_test.cpp
@@ -53,13 +53,13 @@
   running.seeds = {Address("10.0.0.1:7000")};
   Settings reread = running;
   reread.seeds = {Address("10.0.0.2:7000"), Address("10.0.0.3:7000")};
-  auto result = seeds_read_again(running, reread);
+  auto result = reloaded_seeds(running, reread);
   REQUIRE(error_of(result) == nullptr);
   CHECK(std::get<std::vector<Address>>(result) == reread.seeds);
   reread.seeds.clear();
-  CHECK(error_of(seeds_read_again(running, reread))->field == "seeds");
+  CHECK(error_of(reloaded_seeds(running, reread))->field == "seeds");
   reread = running;
   reread.address = Address("10.0.0.9:7000");
-  CHECK(error_of(seeds_read_again(running, reread))->field == "settings");
-  CHECK(error_of(seeds_read_again(running, Error{ErrorKind::invalid, "seed-list", "", ""}))->field == "seed-list");
+  CHECK(error_of(reloaded_seeds(running, reread))->field == "settings");
+  CHECK(error_of(reloaded_seeds(running, Error{ErrorKind::invalid, "seed-list", "", ""}))->field == "seed-list");
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -203,20 +203,20 @@
   const PlatformHeaderCodec codec;
   RequestInfo info;
   info.id = "one";
-  CHECK(codec.read_answer(503, {{"Not-Executed", "1"}, {"Attempt-Id", "one"}}, info).not_run);
-  CHECK_FALSE(codec.read_answer(503, {{"Attempt-Id", "one"}}, info).not_run);
-  CHECK(codec.read_answer(421, {{"Attempt-Id", "one"}}, info).other_instance);
-  CHECK(codec.read_answer(200, {{"Attempt-Id", "two"}}, info).foreign);
-  CHECK_FALSE(codec.read_answer(200, {{"Attempt-Id", "one"}, {"Server-Seal", "3e1b"}}, info).foreign);
-  CHECK(codec.read_answer(200, {{"Attempt-Id", "one"}}, info).foreign);
-  CHECK(codec.read_answer(200, {{"Server-Seal", "3e1b"}}, info).foreign);
-  CHECK_FALSE(codec.read_answer(500, {{"Attempt-Id", "one"}}, info).foreign);
+  CHECK(codec.read_response(503, {{"Not-Executed", "1"}, {"Attempt-Id", "one"}}, info).not_run);
+  CHECK_FALSE(codec.read_response(503, {{"Attempt-Id", "one"}}, info).not_run);
+  CHECK(codec.read_response(421, {{"Attempt-Id", "one"}}, info).other_instance);
+  CHECK(codec.read_response(200, {{"Attempt-Id", "two"}}, info).foreign);
+  CHECK_FALSE(codec.read_response(200, {{"Attempt-Id", "one"}, {"Server-Seal", "3e1b"}}, info).foreign);
+  CHECK(codec.read_response(200, {{"Attempt-Id", "one"}}, info).foreign);
+  CHECK(codec.read_response(200, {{"Server-Seal", "3e1b"}}, info).foreign);
+  CHECK_FALSE(codec.read_response(500, {{"Attempt-Id", "one"}}, info).foreign);
   for (const int status : {421, 429, 500, 503}) {
-    CHECK(codec.read_answer(status, {}, info).foreign);
-    CHECK(codec.read_answer(status, {{"Attempt-Id", "two"}, {"Attempt-Id", "one"}}, info).foreign);
+    CHECK(codec.read_response(status, {}, info).foreign);
+    CHECK(codec.read_response(status, {{"Attempt-Id", "two"}, {"Attempt-Id", "one"}}, info).foreign);
   }
-  CHECK_FALSE(codec.read_answer(400, {{"Not-Executed", "1"}}, RequestInfo{}).foreign);
-  const ResponseInfo response = codec.read_answer(
+  CHECK_FALSE(codec.read_response(400, {{"Not-Executed", "1"}}, RequestInfo{}).foreign);
+  const ResponseInfo response = codec.read_response(
       200, {{"Keep-Alive", "timeout=5, max=10"}, {"Connection", "close"}, {"Instance-Load", "3,1,8"}}, info);
   CHECK(response.idle == std::chrono::seconds(5));
   CHECK(response.closing);
@@ -228,11 +228,11 @@
   RequestInfo info;
   info.id = "one";
   for (const int status : {408, 429, 503}) {
-    CHECK(codec.read_answer(status, {{"Attempt-Id", "one"}}, info).false_refusal);
-    CHECK_FALSE(codec.read_answer(status, {{"Attempt-Id", "one"}, {"Not-Executed", "1"}}, info).false_refusal);
+    CHECK(codec.read_response(status, {{"Attempt-Id", "one"}}, info).false_refusal);
+    CHECK_FALSE(codec.read_response(status, {{"Attempt-Id", "one"}, {"Not-Executed", "1"}}, info).false_refusal);
   }
   for (const int status : {200, 400, 421, 500, 504})
-    CHECK_FALSE(codec.read_answer(status, {{"Attempt-Id", "one"}, {"Server-Seal", "s"}}, info).false_refusal);
+    CHECK_FALSE(codec.read_response(status, {{"Attempt-Id", "one"}, {"Server-Seal", "s"}}, info).false_refusal);
 }
 
 TEST_CASE("platform: a body with a content encoding counts as foreign, and the version of the weights is read") {
@@ -240,12 +240,12 @@
   RequestInfo info;
   info.id = "one";
   std::vector<Header> headers{{"Attempt-Id", "one"}, {"Server-Seal", "3e1b"}, {"Weight-Versions", "12"}};
-  CHECK(codec.read_answer(200, headers, info).version == "12");
+  CHECK(codec.read_response(200, headers, info).version == "12");
   CHECK(codec.version_field() == "weight-versions");
   headers.push_back({"Content-Encoding", "gzip"});
-  CHECK(codec.read_answer(200, headers, info).foreign);
+  CHECK(codec.read_response(200, headers, info).foreign);
   headers.back().value = "identity";
-  CHECK_FALSE(codec.read_answer(200, headers, info).foreign);
+  CHECK_FALSE(codec.read_response(200, headers, info).foreign);
 }
 
 TEST_CASE("platform: a page of the runner list with unknown, missing and duplicate entries is read") {
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -15,7 +15,7 @@
  public:
   MAKE_MOCK2(start, Id(const AttemptRequest&, std::shared_ptr<AttemptObserver>), override);
   MAKE_MOCK1(cancel, void(Id), override);
-  MAKE_MOCK2(hold, void(Id, bool), override);
+  MAKE_MOCK2(set_paused, void(Id, bool), override);
 };
 
 // Drops all messages to other daemons.
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -149,7 +149,7 @@
   auto seen = fixture.submit("/pay", nullptr, &sink);
   fixture.attempts[0].observer->on_head(200, {});
   {
-    REQUIRE_CALL(fixture.runner_client, hold(_, true)).TIMES(1);
+    REQUIRE_CALL(fixture.runner_client, set_paused(_, true)).TIMES(1);
     sink->backlog_ = 300u << 10;
     fixture.attempts[0].observer->on_chunk("more");
     fixture.attempts[0].observer->on_chunk("and more");
@@ -157,12 +157,12 @@
     fixture.wait(std::chrono::seconds(6));
   }
   {
-    REQUIRE_CALL(fixture.runner_client, hold(_, false)).TIMES(1);
+    REQUIRE_CALL(fixture.runner_client, set_paused(_, false)).TIMES(1);
     sink->backlog_ = 10u << 10;
     fixture.wait(std::chrono::milliseconds(100));
   }
   CHECK_FALSE(seen->broken);
-  ALLOW_CALL(fixture.runner_client, hold(_, true));
+  ALLOW_CALL(fixture.runner_client, set_paused(_, true));
   sink->backlog_ = 300u << 10;
   fixture.attempts[0].observer->on_chunk("again");
   fixture.wait(std::chrono::seconds(9));
--- a/tests/runner_client_test.cpp
+++ b/tests/runner_client_test.cpp
@@ -24,7 +24,7 @@
     ++chunks;
     text.append(chunk);
   }
-  void on_pause() override { ++pauses; }
+  void on_read_complete() override { ++pauses; }
   void on_end(AttemptOutcome given) override { outcome = given; }
 };
 
@@ -330,7 +330,7 @@
   RunnerClient::Id id = 0;
   auto observer = fixture.start(fixture.request(), &id);
   observer->on_header = [&] {
-    fixture.runner_client.hold(id, true);
+    fixture.runner_client.set_paused(id, true);
   };
   tcp::socket& socket = fixture.accept();
   fixture.receive_request(socket);
@@ -339,7 +339,7 @@
   fixture.send(socket, "eight by");
   fixture.run_pending();
   CHECK(observer->text.empty());
-  fixture.runner_client.hold(id, false);
+  fixture.runner_client.set_paused(id, false);
   fixture.run([&] { return observer->outcome.has_value(); });
   CHECK((observer->text == "eight by" && observer->outcome == AttemptOutcome::complete));
 }
--- a/tests/stream_router_test.cpp
+++ b/tests/stream_router_test.cpp
@@ -11,8 +11,8 @@
     put("lane/stream",
         R"({"path":"/stream","kind":"model","streaming":true,"resumable":true,"attempts":3,"waiting":2000,"whole":5000})");
     put("circle/model", R"({"members":["one"],"warm":["one"]})");
-    stream = say("/stream", {});
-    request = say("/tell", {});
+    stream = send_request("/stream", {});
+    request = send_request("/tell", {});
     attempts[0].observer->on_head(200, {{"Content-Type", "text/event-stream"}});
     attempts[0].observer->on_chunk("id: 1\ndata: a\n\n");
     attempts[0].observer->on_end(AttemptOutcome::broken);
