--- a/source/lots/item_placer.cpp
+++ b/source/lots/item_placer.cpp
@@ -87,7 +87,7 @@
   void on_head(int status, const std::vector<Header>& headers) override {
     status_ = status;
     response_ = placer_.dialect_.read_response(status, headers, request_info_);
-    if (response_.foreign) return placer_.abort_attempt(attempt_, "lost", 0);
+    if (response_.mismatched) return placer_.abort_attempt(attempt_, "lost", 0);
     const bool resumed = part_.last_event > 0;
     // Text of different model weights must not be joined. A runner with other weights refuses to resume with status
     // 421.
@@ -108,7 +108,7 @@
   }
   void on_end(AttemptOutcome outcome) override {
     if (outcome == AttemptOutcome::not_sent) return finish("not_run");
-    if (status_ == 0 || response_.foreign) return finish("lost");
+    if (status_ == 0 || response_.mismatched) return finish("lost");
     if (response_.not_run || response_.other_instance) return finish("not_run");
     if (outcome != AttemptOutcome::complete) return finish("lost");
     if (status_ == 500) return finish("failed");
@@ -120,7 +120,7 @@
 
  private:
   bool is_success() const {
-    return status_ >= 200 && status_ < 300 && !response_.foreign && !response_.not_run && !response_.other_instance;
+    return status_ >= 200 && status_ < 300 && !response_.mismatched && !response_.not_run && !response_.other_instance;
   }
   void finish(const char* outcome) { placer_.on_attempt_ended(attempt_, {outcome, status_, {}, part()}); }
   void append_data(StringView events) {
--- a/source/routes/router_answers.cpp
+++ b/source/routes/router_answers.cpp
@@ -24,7 +24,7 @@
   const ResponseInfo response = dialect_.read_response(status, headers, record.info);
   runner_table_.response_received(record.runner, record.demand, false);
   if (response.load) runner_table_.update_load(record.runner, *response.load);
-  if (response.foreign) {
+  if (response.mismatched) {
     runner_client_.cancel(record.attempt_handle);
     end_attempt(record, AttemptVerdict::success);
     retry_or_fail(record, true, 502, "foreign", "the runner's response belonged to another request");
--- a/tests/header_dialect_fixture.hpp
+++ b/tests/header_dialect_fixture.hpp
@@ -30,7 +30,7 @@
     response.not_run = header_of(headers, "Not-Run") != nullptr || status == 421;
     response.other_instance = status == 421;
     const auto* id = header_of(headers, "Id");
-    response.foreign = id != nullptr && *id != info.id;
+    response.mismatched = id != nullptr && *id != info.id;
     response.false_refusal = header_of(headers, "False") != nullptr;
     if (const auto* version = header_of(headers, "Version")) response.version = *version;
     if (const auto* load = header_of(headers, "Load"))
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -219,7 +219,7 @@
                              const RequestInfo& request_info) const override {
     ResponseInfo response;
     response.not_run = header_of(headers, "Not-Run") != nullptr;
-    if (const auto* id = header_of(headers, "Id")) response.foreign = *id != request_info.id;
+    if (const auto* id = header_of(headers, "Id")) response.mismatched = *id != request_info.id;
     if (const auto* version = header_of(headers, "Version")) response.version = *version;
     response.other_instance = status == 421;
     return response;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -206,16 +206,16 @@
   CHECK(codec.read_response(503, {{"Not-Executed", "1"}, {"Attempt-Id", "one"}}, info).not_run);
   CHECK_FALSE(codec.read_response(503, {{"Attempt-Id", "one"}}, info).not_run);
   CHECK(codec.read_response(421, {{"Attempt-Id", "one"}}, info).other_instance);
-  CHECK(codec.read_response(200, {{"Attempt-Id", "two"}}, info).foreign);
-  CHECK_FALSE(codec.read_response(200, {{"Attempt-Id", "one"}, {"Server-Seal", "3e1b"}}, info).foreign);
-  CHECK(codec.read_response(200, {{"Attempt-Id", "one"}}, info).foreign);
-  CHECK(codec.read_response(200, {{"Server-Seal", "3e1b"}}, info).foreign);
-  CHECK_FALSE(codec.read_response(500, {{"Attempt-Id", "one"}}, info).foreign);
+  CHECK(codec.read_response(200, {{"Attempt-Id", "two"}}, info).mismatched);
+  CHECK_FALSE(codec.read_response(200, {{"Attempt-Id", "one"}, {"Server-Seal", "3e1b"}}, info).mismatched);
+  CHECK(codec.read_response(200, {{"Attempt-Id", "one"}}, info).mismatched);
+  CHECK(codec.read_response(200, {{"Server-Seal", "3e1b"}}, info).mismatched);
+  CHECK_FALSE(codec.read_response(500, {{"Attempt-Id", "one"}}, info).mismatched);
   for (const int status : {421, 429, 500, 503}) {
-    CHECK(codec.read_response(status, {}, info).foreign);
-    CHECK(codec.read_response(status, {{"Attempt-Id", "two"}, {"Attempt-Id", "one"}}, info).foreign);
+    CHECK(codec.read_response(status, {}, info).mismatched);
+    CHECK(codec.read_response(status, {{"Attempt-Id", "two"}, {"Attempt-Id", "one"}}, info).mismatched);
   }
-  CHECK_FALSE(codec.read_response(400, {{"Not-Executed", "1"}}, RequestInfo{}).foreign);
+  CHECK_FALSE(codec.read_response(400, {{"Not-Executed", "1"}}, RequestInfo{}).mismatched);
   const ResponseInfo response = codec.read_response(
       200, {{"Keep-Alive", "timeout=5, max=10"}, {"Connection", "close"}, {"Instance-Load", "3,1,8"}}, info);
   CHECK(response.idle == std::chrono::seconds(5));
@@ -243,9 +243,9 @@
   CHECK(codec.read_response(200, headers, info).version == "12");
   CHECK(codec.version_field() == "weight-versions");
   headers.push_back({"Content-Encoding", "gzip"});
-  CHECK(codec.read_response(200, headers, info).foreign);
+  CHECK(codec.read_response(200, headers, info).mismatched);
   headers.back().value = "identity";
-  CHECK_FALSE(codec.read_response(200, headers, info).foreign);
+  CHECK_FALSE(codec.read_response(200, headers, info).mismatched);
 }
 
 TEST_CASE("platform: a page of the runner list with unknown, missing and duplicate entries is read") {
