--- a/source/configuration/resources.cpp
+++ b/source/configuration/resources.cpp
@@ -15,8 +15,8 @@
 
 using OptionalError = std::optional<Error>;
 
-OptionalError check_positive(StringView field, Duration span) {
-  if (span < std::chrono::milliseconds(1))
+OptionalError check_positive(StringView field, Duration duration) {
+  if (duration < std::chrono::milliseconds(1))
     return invalid_field(std::string(field), "the duration is shorter than 1 millisecond",
                          "give 1 millisecond or more");
   return std::nullopt;
@@ -49,13 +49,13 @@
   if (lane.retries > 10) return invalid_field("retries", "there are more than 10 retries", "give 0 to 10");
   if (lane.waiting_room > 100000)
     return invalid_field("waiting_room", "the queue length is above 100000 requests", "give 0 to 100000");
-  for (auto [field, span] : {std::pair<StringView, Duration>{"waiting", lane.waiting},
-                             {"connecting", lane.connecting},
-                             {"first_piece", lane.first_piece},
-                             {"between_pieces", lane.between_pieces},
-                             {"taking", lane.taking},
-                             {"whole", lane.whole}})
-    if (auto error = check_positive(field, span)) return error;
+  for (auto [field, duration] : {std::pair<StringView, Duration>{"waiting", lane.waiting},
+                                 {"connecting", lane.connecting},
+                                 {"first_piece", lane.first_piece},
+                                 {"between_pieces", lane.between_pieces},
+                                 {"taking", lane.taking},
+                                 {"whole", lane.whole}})
+    if (auto error = check_positive(field, duration)) return error;
   if (lane.whole < lane.first_piece)
     return invalid_field("whole", "the time limit for the complete request is shorter than the one for the first chunk",
                          "set whole to at least first_piece");
--- a/source/host/daemon.cpp
+++ b/source/host/daemon.cpp
@@ -130,10 +130,10 @@
                                        router_worker_.loop.random(), self_, dialect);
     http_server_ = std::make_unique<HttpServer>(
         router_worker_.loop.context(), *router_,
-        [this](ControlRequest request, ControlReplyCallback answer) {
+        [this](ControlRequest request, ControlReplyCallback send_reply) {
           return control_worker_.loop.try_post(
-              [this, request = std::move(request), answer = std::move(answer)]() mutable {
-                handle(std::move(request), std::move(answer));
+              [this, request = std::move(request), send_reply = std::move(send_reply)]() mutable {
+                handle(std::move(request), std::move(send_reply));
               });
         },
         max_client_connections(),
@@ -158,11 +158,11 @@
   return result;
 }
 
-void Daemon::handle(ControlRequest request, ControlReplyCallback answer) {
+void Daemon::handle(ControlRequest request, ControlReplyCallback send_reply) {
   if (platform_api_)
-    platform_api_->handle(std::move(request), std::move(answer));
+    platform_api_->handle(std::move(request), std::move(send_reply));
   else
-    control_->handle(std::move(request), std::move(answer));
+    control_->handle(std::move(request), std::move(send_reply));
 }
 
 json::value Daemon::load() {
--- a/source/host/event_loop.cpp
+++ b/source/host/event_loop.cpp
@@ -19,9 +19,9 @@
   return steady_now();
 }
 
-Timers::Id AsioTimers::after(Duration span, Task task) {
+Timers::Id AsioTimers::after(Duration delay, Task task) {
   const Id id = ++last_;
-  auto timer = std::make_unique<boost::asio::steady_timer>(context_, span);
+  auto timer = std::make_unique<boost::asio::steady_timer>(context_, delay);
   timer->async_wait([this, id, task = std::move(task)](const boost::system::error_code& error) {
     if (error || timers_.erase(id) == 0) return;
     task();
--- a/source/host/event_loop.hpp
+++ b/source/host/event_loop.hpp
@@ -17,7 +17,7 @@
  public:
   explicit AsioTimers(boost::asio::io_context& context) : context_(context) {}
   TimePoint now() const override;
-  Id after(Duration span, Task task) override;
+  Id after(Duration delay, Task task) override;
   void cancel(Id id) override;
 
  private:
--- a/source/host/file_disk.cpp
+++ b/source/host/file_disk.cpp
@@ -44,7 +44,7 @@
 void FileDisk::submit(DiskRequest request) {
   {
     std::lock_guard lock(mutex_);
-    requests_.push_back(std::move(order));
+    requests_.push_back(std::move(request));
   }
   wake_.notify_one();
 }
--- a/source/host/platform_adapter.hpp
+++ b/source/host/platform_adapter.hpp
@@ -15,7 +15,7 @@
   virtual ~PlatformApi() = default;
   // Whether a request that arrived at the clients' address belongs to this API.
   virtual bool is_api_request(StringView method, StringView target, const std::vector<Header>& headers) const = 0;
-  virtual void handle(ControlRequest request, ControlReplyCallback answer) = 0;
+  virtual void handle(ControlRequest request, ControlReplyCallback send_reply) = 0;
 };
 
 // One platform. Each adapter implements this interface.
--- a/source/interfaces/dialect.hpp
+++ b/source/interfaces/dialect.hpp
@@ -66,7 +66,7 @@
   // events do not announce it.
   virtual StringView version_field() const { return {}; }
   // The value of a Retry-After header, in seconds.
-  virtual std::string retry_after(Duration span) const = 0;
+  virtual std::string retry_after(Duration delay) const = 0;
 };
 
 // The product's own dialect: it reads only the Host header of requests and the Connection header of responses, and adds
@@ -78,7 +78,7 @@
                      const AttemptInfo& attempt) const override;
   ResponseInfo read_response(int status, const std::vector<Header>& headers,
                              const RequestInfo& request_info) const override;
-  std::string retry_after(Duration span) const override;
+  std::string retry_after(Duration delay) const override;
 };
 
 const Dialect& plain_dialect();
--- a/source/interfaces/interfaces.hpp
+++ b/source/interfaces/interfaces.hpp
@@ -17,7 +17,7 @@
   virtual ~Timers() = default;
   virtual TimePoint now() const = 0;
   // Runs the task once after the given time.
-  virtual Id after(Duration span, Task task) = 0;
+  virtual Id after(Duration delay, Task task) = 0;
   virtual void cancel(Id id) = 0;
 };
 
--- a/source/scale/loopback.cpp
+++ b/source/scale/loopback.cpp
@@ -36,7 +36,7 @@
   void set_paused(Id, bool) override {}
 };
 
-Address place(const LoopbackSize& size, std::size_t number, std::size_t side) {
+Address loopback_address(const LoopbackSize& size, std::size_t number, std::size_t side) {
   return Address("127.0.0.1:" + std::to_string(size.port + number * 3 + side));
 }
 std::string zone(std::size_t number) {
@@ -70,9 +70,9 @@
   Hollow(const LoopbackSize& size, std::size_t number, std::vector<Address> seeds, boost::asio::io_context& loop)
       : thread_("hollow", &loop),
         transport_(
-            place(size, number, 0), [](StringView) {}, &loop) {
+            loopback_address(size, number, 0), [](StringView) {}, &loop) {
     Member self;
-    self.address = self.callers = self.control = place(size, number, 0);
+    self.address = self.callers = self.control = loopback_address(size, number, 0);
     self.zone = ZoneId(zone(number));
     self.incarnation = new_incarnation(
         std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()), thread_.random());
@@ -219,7 +219,7 @@
   std::vector<Address> seeds;
   std::string seed_list;
   for (std::size_t index = 0; index < 3; ++index) {
-    seeds.push_back(place(size, index, 0));
+    seeds.push_back(loopback_address(size, index, 0));
     seed_list += (index > 0 ? "," : "") + seeds.back().text;
   }
   std::vector<Real> reals;
@@ -227,11 +227,11 @@
     const bool control = index < size.control;
     std::vector<std::string> words{size.program,
                                    "--address",
-                                   place(size, index, 0).text,
+                                   loopback_address(size, index, 0).text,
                                    "--callers",
-                                   place(size, index, 1).text,
+                                   loopback_address(size, index, 1).text,
                                    "--control",
-                                   place(size, index, 2).text,
+                                   loopback_address(size, index, 2).text,
                                    "--zone",
                                    zone(index),
                                    "--seeds",
@@ -243,7 +243,7 @@
       std::filesystem::create_directories(data);
       words.insert(words.end(), {"--data-folder", data.string()});
     }
-    reals.push_back(Real{launch(words), place(size, index, 0), control});
+    reals.push_back(Real{launch(words), loopback_address(size, index, 0), control});
   }
   Loops loops;
   std::vector<std::unique_ptr<Hollow>> hollows;
@@ -314,18 +314,18 @@
     const double own_before = own(), bytes_before = counted();
     const TimePoint began = steady_now();
     std::this_thread::sleep_for(seconds(size.seconds));
-    const double span = static_cast<double>((steady_now() - began).count()) / 1e6;
+    const double elapsed = static_cast<double>((steady_now() - began).count()) / 1e6;
     std::cout << std::fixed << std::setprecision(2) << "\nloopback, " << size.real << " real daemons (" << size.control
               << " of control), " << size.hollow << " hollow, " << size.runners << " runners\n"
-              << "  hollow: " << (own() - own_before) / span / static_cast<double>(size.hollow) * 100 << "% of a core, "
-              << (counted() - bytes_before) / span / static_cast<double>(size.hollow) << " B/s out, "
-              << spent(::getpid()).second / 1e6 / static_cast<double>(size.hollow) << " MB a daemon\n";
+              << "  hollow: " << (own() - own_before) / elapsed / static_cast<double>(size.hollow) * 100
+              << "% of a core, " << (counted() - bytes_before) / elapsed / static_cast<double>(size.hollow)
+              << " B/s out, " << spent(::getpid()).second / 1e6 / static_cast<double>(size.hollow) << " MB a daemon\n";
     for (const bool control : {true, false}) {
       double processor = 0, memory = 0, count = 0;
       for (const auto& real : reals) {
         if (real.control != control) continue;
         const auto [time, bytes] = spent(real.pid);
-        processor += (time - before[real.pid]) / span;
+        processor += (time - before[real.pid]) / elapsed;
         memory += bytes;
         ++count;
       }
--- a/source/scale/main.cpp
+++ b/source/scale/main.cpp
@@ -145,17 +145,17 @@
   }
   ::close(ends[1]);
   std::vector<double> row(columns.size());
-  const bool told =
+  const bool reported =
       ::read(ends[0], row.data(), row.size() * sizeof(double)) == static_cast<ssize_t>(row.size() * sizeof(double));
   ::close(ends[0]);
   int status = 0;
   ::waitpid(child, &status, 0);
   whole = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-  if (!told)
+  if (!reported)
     std::cerr << "scale-run: the process of " << size.daemons << " daemons died"
               << (WIFSIGNALED(status) ? std::string(" by signal ") + std::to_string(WTERMSIG(status)) : std::string())
               << "\n";
-  return told ? row : std::vector<double>();
+  return reported ? row : std::vector<double>();
 }
 
 }  // namespace
--- a/source/scale/scale.cpp
+++ b/source/scale/scale.cpp
@@ -156,17 +156,17 @@
                              [&](const auto& machine) { return machine->alive() && machine->keeps == keeps; });
   if (victim == cluster.machines.rend()) return -1;
   (*victim)->kill(false);
-  const auto span = wait(cluster.world, seconds(20), [&] {
+  const auto elapsed = wait(cluster.world, seconds(20), [&] {
     return std::all_of(cluster.machines.begin(), cluster.machines.end(), [&](const auto& machine) {
       return !machine->alive() || !machine->shared_state().members.get()->all.contains((*victim)->address);
     });
   });
-  if (!span)
+  if (!elapsed)
     figures.broken.push_back("a lost daemon (" + (keeps.empty() ? std::string("edge") : keeps) +
                              ") was still a member somewhere after 20 s");
   (*victim)->start();
   cluster.world.run_until(cluster.world.now() + seconds(3));
-  return span.value_or(-1);
+  return elapsed.value_or(-1);
 }
 
 }  // namespace
@@ -226,11 +226,11 @@
   }
   std::uint64_t answered = 0;
   for (auto& machine : cluster.machines)
-    if (machine->entries() != nullptr) answered += machine->entries()->counts().answered;
+    if (machine->router() != nullptr) answered += machine->router()->counts().answered;
   measure(cluster, figures);
   for (auto& machine : cluster.machines)
-    if (machine->entries() != nullptr)
-      figures.requests_answered += static_cast<double>(machine->entries()->counts().answered);
+    if (machine->router() != nullptr)
+      figures.requests_answered += static_cast<double>(machine->router()->counts().answered);
   figures.requests_answered = (figures.requests_answered - static_cast<double>(answered)) / figures.seconds;
   figures.memory = static_cast<double>(resident() - std::min(before, resident())) / static_cast<double>(size.daemons);
   world.run_until(world.now() + seconds(3));
--- a/source/simulate/benchmarks.cpp
+++ b/source/simulate/benchmarks.cpp
@@ -37,15 +37,15 @@
     World world(seed);
     SimulatedCluster cluster(world, shape_named(shape_name, 1.0));
     if (!start_until_ready(cluster)) return;
-    for (auto& machine : cluster.machines) machine->entries()->set_round_robin_all(round_robin);
+    for (auto& machine : cluster.machines) machine->router()->set_round_robin_all(round_robin);
     cluster.load(seconds(120));
     // The controller of the circle's size settles before the measurement begins.
     world.run_until(world.now() + seconds(40));
     const std::size_t ledger_from = world.ledger().size();
     std::uint64_t same_zone = 0, other_zones = 0, prefix_hits = 0, prefix_misses = 0;
     for (auto& machine : cluster.machines) {
-      same_zone -= machine->entries()->counts().own_zone;
-      other_zones -= machine->entries()->counts().other_zone;
+      same_zone -= machine->router()->counts().own_zone;
+      other_zones -= machine->router()->counts().other_zone;
     }
     for (auto& runner : cluster.runners) {
       prefix_hits -= runner->prefix_hits;
@@ -56,8 +56,8 @@
     const std::int64_t measured_to = world.milliseconds();
     world.run_until(world.now() + seconds(15));
     for (auto& machine : cluster.machines) {
-      same_zone += machine->entries()->counts().own_zone;
-      other_zones += machine->entries()->counts().other_zone;
+      same_zone += machine->router()->counts().own_zone;
+      other_zones += machine->router()->counts().other_zone;
     }
     for (auto& runner : cluster.runners) {
       prefix_hits += runner->prefix_hits;
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -87,15 +87,15 @@
       std::make_unique<ConfigurationGossip>(messenger("news"), *shared_state_, world.random, self.keeps_control());
   components_->item_placer =
       std::make_unique<ItemPlacer>(messenger("placing"), *shared_state_, *components_->lot_runner_client, world.random);
-  components_->entries = std::make_unique<Router>(messenger("routes"), *shared_state_, *components_->live_runner_client,
-                                                  world.random, self);
+  components_->router = std::make_unique<Router>(messenger("routes"), *shared_state_, *components_->live_runner_client,
+                                                 world.random, self);
   components_->control = std::make_unique<Control>(messenger("control"), *shared_state_, world.random, self,
                                                    [] { return json::value(nullptr); });
   components_->client = std::make_unique<StoreClient>(*components_->messengers["control"], *shared_state_);
   components_->sessions->start();
   components_->gossip->start();
   components_->item_placer->start();
-  components_->entries->start();
+  components_->router->start();
   if (has_disk) {
     components_->kept->start();
     if (components_->circle) components_->circle->start();
@@ -124,17 +124,17 @@
   cluster_.on_machine_killed(*this);
 }
 
-void Machine::freeze() {
-  if (!alive() || life_->frozen) return;
+void Machine::suspend() {
+  if (!alive() || life_->suspended) return;
   cluster_.world.log_event(name + " freezes");
-  cluster_.world.freeze(life_);
+  cluster_.world.suspend(life_);
 }
 
-void Machine::wake() {
-  if (!frozen()) return;
+void Machine::resume() {
+  if (!suspended()) return;
   cluster_.world.log_event(name + " wakes");
   undisturbed_since = cluster_.world.now();
-  cluster_.world.wake(life_);
+  cluster_.world.resume(life_);
 }
 
 void Machine::mark_reconnected() {
@@ -328,7 +328,7 @@
 Machine& SimulatedCluster::any_alive() {
   std::vector<Machine*> list;
   for (auto& machine : machines)
-    if (machine->alive() && !machine->frozen() && machine->serves()) list.push_back(machine.get());
+    if (machine->alive() && !machine->suspended() && machine->serves()) list.push_back(machine.get());
   return list.empty() ? *machines[0] : *list[world.random.below(list.size())];
 }
 
@@ -461,7 +461,7 @@
 void SimulatedCluster::check_rules_periodically() {
   const TimePoint now = world.now();
   for (auto& machine : machines) {
-    if (!machine->alive() || machine->frozen()) continue;
+    if (!machine->alive() || machine->suspended()) continue;
     const auto configuration = machine->shared_state().configuration.get();
     auto& highest_stamps = highest_stamps_[machine->name + "/" + std::to_string(machine->incarnation())];
     auto check_stamp = [&](const std::string& key, Stamp stamp) {
@@ -525,8 +525,8 @@
 
 void SimulatedCluster::send_stream(const StreamLoad& load, std::uint64_t number) {
   const std::string id = load.name + "-" + std::to_string(number) + "-" + std::to_string(world.milliseconds());
-  // A machine that is down refuses the connection, and the client connects to another one. A frozen machine accepts the
-  // connection.
+  // A machine that is down refuses the connection, and the client connects to another one. A suspended machine accepts
+  // the connection.
   Machine* machine = machines[world.random.below(machines.size())].get();
   if (!machine->alive() || !machine->serves()) machine = &any_alive();
   if (!machine->alive()) return;
@@ -598,7 +598,7 @@
                         client->on_machine_killed();
                       }};
   world.at(Duration(300), machine->life(), [machine, request, client] {
-    if (machine->entries() != nullptr) machine->entries()->submit(request, client);
+    if (machine->router() != nullptr) machine->router()->submit(request, client);
   });
 }
 
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -28,13 +28,13 @@
   void start();
   void kill(bool wipe);
   bool alive() const { return life_ && life_->alive; }
-  bool frozen() const { return alive() && life_->frozen; }
-  void freeze();
+  bool suspended() const { return alive() && life_->suspended; }
+  void suspend();
   std::uint64_t incarnation() const { return incarnation_; }
   // A machine that is cut off from others need not be up to date until it is connected again.
   void mark_cut_off() { undisturbed_since = TimePoint{INT64_MAX / 4}; }
   void mark_reconnected();
-  void wake();
+  void resume();
 
   const std::string name, zone;
   const bool has_disk;
@@ -45,7 +45,7 @@
   SharedState& shared_state() { return *shared_state_; }
   SimulatedDisk& disk() { return disk_; }
   LifePointer life() { return life_; }
-  Router* entries() { return components_ ? components_->entries.get() : nullptr; }
+  Router* router() { return components_ ? components_->router.get() : nullptr; }
   const CircleManager* circle() const { return components_ ? components_->circle.get() : nullptr; }
   StoreClient* client() { return components_ ? components_->client.get() : nullptr; }
   Control* control() { return components_ ? components_->control.get() : nullptr; }
@@ -69,7 +69,7 @@
     std::unique_ptr<CircleManager> circle;
     std::unique_ptr<Lots> lots;
     std::unique_ptr<ItemPlacer> item_placer;
-    std::unique_ptr<Router> entries;
+    std::unique_ptr<Router> router;
     std::unique_ptr<Control> control;
     std::unique_ptr<StoreClient> client;
   };
@@ -101,7 +101,7 @@
   Machine* machine_at(const Address& address);
   RunnerModel* find_runner(const Address& address);
   std::vector<Machine*> holders();  // The storage nodes: all machines with a disk, dead ones included.
-  // A random machine that is alive, not frozen and open to clients; the first machine if there is none.
+  // A random machine that is alive, not suspended and open to clients; the first machine if there is none.
   Machine& any_alive();
   // Adds a machine with an empty disk at a new address; it is not started yet.
   Machine& add_machine(const std::string& zone, const std::string& keeps = {});
--- a/source/simulate/control_scenarios.cpp
+++ b/source/simulate/control_scenarios.cpp
@@ -203,8 +203,8 @@
   }
 
   // Whether the machine is alive and has not been disturbed for the given time.
-  bool undisturbed_for(const Machine& machine, Duration span) const {
-    return machine.alive() && !machine.frozen() && world_.now() - machine.undisturbed_since > span;
+  bool undisturbed_for(const Machine& machine, Duration duration) const {
+    return machine.alive() && !machine.suspended() && world_.now() - machine.undisturbed_since > duration;
   }
 
   void check_periodically() {
@@ -297,8 +297,8 @@
   auto run = start_run(cluster);
   Machine& victim = run->pick_control_daemon();
   for (int number = 0; number < 3; ++number) {
-    cluster.world.after(cut_start + seconds(4) * number, [&victim] { victim.freeze(); });
-    cluster.world.after(cut_start + seconds(4) * number + milliseconds(2500), [&victim] { victim.wake(); });
+    cluster.world.after(cut_start + seconds(4) * number, [&victim] { victim.suspend(); });
+    cluster.world.after(cut_start + seconds(4) * number + milliseconds(2500), [&victim] { victim.resume(); });
   }
   run->schedule_changes(cut_start, cut_duration);
 }
--- a/source/simulate/faults.cpp
+++ b/source/simulate/faults.cpp
@@ -17,7 +17,7 @@
 Machine& pick_machine(SimulatedCluster& cluster, bool with_disk) {
   std::vector<Machine*> list;
   for (auto& machine : cluster.machines)
-    if (machine->alive() && !machine->frozen() && machine->has_disk == with_disk) list.push_back(machine.get());
+    if (machine->alive() && !machine->suspended() && machine->has_disk == with_disk) list.push_back(machine.get());
   return list.empty() ? *cluster.machines[0] : *list[cluster.world.random.below(list.size())];
 }
 
@@ -193,8 +193,8 @@
 }
 
 void freeze_for(SimulatedCluster& cluster, Machine& machine, Duration length) {
-  machine.freeze();
-  cluster.world.after(length, [&machine] { machine.wake(); });
+  machine.suspend();
+  cluster.world.after(length, [&machine] { machine.resume(); });
 }
 
 void inject_random_fault(SimulatedCluster& cluster) {
--- a/source/simulate/faults.hpp
+++ b/source/simulate/faults.hpp
@@ -6,7 +6,7 @@
 
 // Starts the machine after the pause, unless it is already running by then.
 void restart_later(SimulatedCluster& cluster, Machine& machine, Duration pause);
-// A random machine with or without a disk that is alive and not frozen.
+// A random machine with or without a disk that is alive and not suspended.
 Machine& pick_machine(SimulatedCluster& cluster, bool with_disk);
 // A random runner of the kind.
 RunnerModel& pick_runner(SimulatedCluster& cluster, const std::string& kind);
--- a/source/simulate/history_scenarios.cpp
+++ b/source/simulate/history_scenarios.cpp
@@ -114,7 +114,7 @@
 
 Machine* owner_of(SimulatedCluster& cluster, const std::string& key) {
   for (Machine* node : cluster.holders())
-    if (node->alive() && !node->frozen() && node->serves() &&
+    if (node->alive() && !node->suspended() && node->serves() &&
         node->shared_state().owned.get()->slots.contains(slot_of(key)))
       return node;
   return nullptr;
@@ -204,8 +204,8 @@
   add("history-away", "500 changes while a storage node is down", kill, no_action, start, no_action);
   add(
       "history-frozen", "500 changes while a storage node is suspended",
-      [](SimulatedCluster&, Machine& machine) { machine.freeze(); }, no_action,
-      [](SimulatedCluster&, Machine& machine) { machine.wake(); }, no_action);
+      [](SimulatedCluster&, Machine& machine) { machine.suspend(); }, no_action,
+      [](SimulatedCluster&, Machine& machine) { machine.resume(); }, no_action);
   add(
       "history-slow-disk",
       "500 changes while the disk of a storage node takes 60 ms for a sync, then the node is killed and restarted",
--- a/source/simulate/loss_scenarios.cpp
+++ b/source/simulate/loss_scenarios.cpp
@@ -238,8 +238,8 @@
   if (roster == nullptr || roster->voters.size() < voters_needed(run)) return false;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
     Epoch owned, lowest_installed{UINT64_MAX};
-    for (const auto& seat : roster->voters) {
-      auto found = stores.find(seat.holder);
+    for (const auto& voter : roster->voters) {
+      auto found = stores.find(voter.holder);
       if (found == stores.end()) return false;
       const ReplicatedStore::SlotView view = found->second->slot_view(slot);
       owned = std::max(owned, view.owned);
--- a/source/simulate/scenario_run.cpp
+++ b/source/simulate/scenario_run.cpp
@@ -29,7 +29,7 @@
 std::vector<std::string> violated_invariants(SimulatedCluster& cluster) {
   std::vector<std::string> list;
   for (const auto& machine : cluster.machines) {
-    if (const Router* router = machine->entries(); router != nullptr && router->counts().delayed_beside_idle > 0)
+    if (const Router* router = machine->router(); router != nullptr && router->counts().delayed_beside_idle > 0)
       list.push_back("a limit held requests up beside idle runners: " + machine->name + " counts " +
                      std::to_string(router->counts().delayed_beside_idle));
     if (const CircleManager* circle = machine->circle();
--- a/source/simulate/scenarios.cpp
+++ b/source/simulate/scenarios.cpp
@@ -441,11 +441,11 @@
           if (voters.size() != (keeps->empty() ? 5 : 4))
             cluster.broken.push_back("the roster has " + std::to_string(voters.size()) +
                                      " seats after a replacement and a retirement");
-          for (const auto& seat : voters)
-            if (Machine* machine = cluster.machine_at(seat.address);
+          for (const auto& voter : voters)
+            if (Machine* machine = cluster.machine_at(voter.address);
                 machine == nullptr || !machine->alive() ||
-                cluster.any_alive().shared_state().configuration.get()->holders.contains(seat.address.text))
-              cluster.broken.push_back("a machine that is gone or retired has a seat: " + seat.address.text);
+                cluster.any_alive().shared_state().configuration.get()->holders.contains(voter.address.text))
+              cluster.broken.push_back("a machine that is gone or retired has a seat: " + voter.address.text);
         });
       },
       seconds(38));
@@ -485,8 +485,8 @@
         cluster.operator_change("holder/" + machine.address.text, R"({"retired":true})");
         cluster.world.after(seconds(14), [&cluster, &machine] {
           const auto configuration = cluster.any_alive().shared_state().configuration.get();
-          for (const auto& seat : (machine.serves() ? configuration->roster : configuration->lot_roster).voters)
-            if (seat.address == machine.address)
+          for (const auto& voter : (machine.serves() ? configuration->roster : configuration->lot_roster).voters)
+            if (voter.address == machine.address)
               cluster.broken.push_back("a retired holder still has its seat after 14 s");
           machine.kill(true);
         });
--- a/source/simulate/service_scenarios.cpp
+++ b/source/simulate/service_scenarios.cpp
@@ -110,8 +110,8 @@
     for (const auto& runner : cluster_.runners) counts.resets += runner->connections.resets();
     for (const auto& [name, ramps] : circle(small_kind).ramps) counts.ramps += ramps;
     for (const auto& machine : cluster_.machines) {
-      if (machine->entries() == nullptr) continue;
-      const RouterCounts& router_counts = machine->entries()->counts();
+      if (machine->router() == nullptr) continue;
+      const RouterCounts& router_counts = machine->router()->counts();
       for (const auto& [what, waits] : router_counts.waits) {
         if (!what.starts_with(small_kind + " ")) continue;
         Waits& sum = counts.waits[what.substr(small_kind.size() + 1)];
--- a/source/simulate/world.cpp
+++ b/source/simulate/world.cpp
@@ -15,8 +15,8 @@
 }
 }  // namespace
 
-void World::at(Duration span, LifePointer life, Task task) {
-  queue_.push(Event{now_ + std::max(span, Duration{0}), ++last_order_, std::move(life),
+void World::at(Duration delay, LifePointer life, Task task) {
+  queue_.push(Event{now_ + std::max(delay, Duration{0}), ++last_order_, std::move(life),
                     std::make_shared<Task>(std::move(task))});
 }
 
@@ -26,7 +26,7 @@
     queue_.pop();
     now_ = std::max(now_, event.time);
     if (event.life && !event.life->alive) continue;
-    if (event.life && event.life->frozen) {
+    if (event.life && event.life->suspended) {
       event.life->deferred.emplace_back(event.order, std::move(*event.task));
       continue;
     }
@@ -40,8 +40,8 @@
   now_ = std::max(now_, end);
 }
 
-void World::wake(const LifePointer& life) {
-  life->frozen = false;
+void World::resume(const LifePointer& life) {
+  life->suspended = false;
   auto tasks = std::move(life->deferred);
   life->deferred.clear();
   std::sort(tasks.begin(), tasks.end(), [](const auto& left, const auto& right) { return left.first < right.first; });
@@ -84,10 +84,10 @@
   after(Duration{0}, [this, machine_name] { strike(machine_name); });
 }
 
-Timers::Id SimulatedTimers::after(Duration span, Task task) {
+Timers::Id SimulatedTimers::after(Duration delay, Task task) {
   const Id id = ++last_id_;
   active_->insert(id);
-  world_.at(span, life_, [active = active_, id, task = std::move(task)] {
+  world_.at(delay, life_, [active = active_, id, task = std::move(task)] {
     if (active->erase(id) > 0) task();
   });
   return id;
--- a/source/simulate/world.hpp
+++ b/source/simulate/world.hpp
@@ -15,9 +15,9 @@
 // One run of a simulated process. Events that belong to it are dropped once it has died, and are deferred while it is
 // frozen (suspended).
 struct Life {
-  bool alive = true, frozen = false;
+  bool alive = true, suspended = false;
   std::uint64_t processor = 0;  // Real processor time in nanoseconds; it is counted only while World::measuring is set.
-  // The events that became due while the process was frozen, each with its position in the event order.
+  // The events that became due while the process was suspended, each with its position in the event order.
   std::vector<std::pair<std::uint64_t, Task>> deferred;
 };
 using LifePointer = std::shared_ptr<Life>;
@@ -46,13 +46,13 @@
   explicit World(std::uint64_t seed) : random(seed) {}
   TimePoint now() const { return now_; }
   std::int64_t milliseconds() const { return now_.microseconds / 1000; }
-  // Schedules a task for the process `life` after the given span; with a null `life` it runs in any case.
-  void at(Duration span, LifePointer life, Task task);
-  void after(Duration span, Task task) { at(span, nullptr, std::move(task)); }
+  // Schedules a task for the process `life` after the given delay; with a null `life` it runs in any case.
+  void at(Duration delay, LifePointer life, Task task);
+  void after(Duration delay, Task task) { at(delay, nullptr, std::move(task)); }
   void run_until(TimePoint end);
-  void freeze(const LifePointer& life) { life->frozen = true; }
-  // Resumes a frozen process: its deferred events run now, in their original order.
-  void wake(const LifePointer& life);
+  void suspend(const LifePointer& life) { life->suspended = true; }
+  // Resumes a suspended process: its deferred events run now, in their original order.
+  void resume(const LifePointer& life);
 
   // The network between machines and runners. The delay of one message is random; shortest_delay is its lower bound.
   // `cut` blocks messages in one direction. Each end is the name of a machine, a runner or a zone, or "*" for all.
@@ -116,7 +116,7 @@
  public:
   SimulatedTimers(World& world, LifePointer life) : world_(world), life_(std::move(life)) {}
   TimePoint now() const override { return world_.now(); }
-  Id after(Duration span, Task task) override;
+  Id after(Duration delay, Task task) override;
   void cancel(Id id) override { active_->erase(id); }
 
  private:
@@ -154,14 +154,14 @@
  private:
   void begin_sync();
   void complete_sync();
-  void pass_fault_point(const DiskRequest& order, bool done);
+  void pass_fault_point(const DiskRequest& request, bool done);
   World& world_;
   std::string machine_name_;
   LifePointer life_;
   SimulatedVolume volume_;
   std::unique_ptr<LogFiles> log_files_;
   bool busy_ = false;
-  std::deque<DiskRequest> requests_, syncing_;  // Orders that wait, and orders in the sync in progress.
+  std::deque<DiskRequest> requests_, syncing_;  // Requests that wait, and requests in the sync in progress.
 };
 
 }  // namespace mothwalk::simulate
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -133,10 +133,10 @@
   std::vector<MachineSetup> setups;
   for (const auto& each : machines_) setups.push_back(each->setup);
   const Roster roster = first_roster(setups, names);
-  for (const auto& seat : roster.voters) {
-    Bytes image = frame_entry(DiskEntry{.what = "identity", .holder = seat.holder, .address = seat.address}, 0);
+  for (const auto& voter : roster.voters) {
+    Bytes image = frame_entry(DiskEntry{.what = "identity", .holder = voter.holder, .address = voter.address}, 0);
     image += frame_entry(DiskEntry{.what = "roster", .roster = roster}, 0);
-    at(seat.address)->disk.set_content(std::move(image));
+    at(voter.address)->disk.set_content(std::move(image));
   }
 }
 
--- a/tests/model/disk.hpp
+++ b/tests/model/disk.hpp
@@ -45,7 +45,7 @@
  private:
   void begin();
   void complete();
-  void write(const DiskRequest& order);
+  void write(const DiskRequest& request);
 
   Scheduler& scheduler_;
   ProcessPointer process_;
--- a/tests/model/invariants.cpp
+++ b/tests/model/invariants.cpp
@@ -25,8 +25,8 @@
 // Returns whether every majority of one roster has a voter in common with every majority of the other.
 bool majorities_overlap(const Roster& first, const Roster& second) {
   std::set<StorageNodeId> all;
-  for (const auto& seat : first.voters) all.insert(seat.holder);
-  for (const auto& seat : second.voters) all.insert(seat.holder);
+  for (const auto& voter : first.voters) all.insert(voter.holder);
+  for (const auto& voter : second.voters) all.insert(voter.holder);
   return first.majority() + second.majority() > all.size();
 }
 }  // namespace
@@ -115,12 +115,12 @@
   auto roster = rosters_.find(version->second);
   if (roster == rosters_.end()) return;
   std::size_t copies = 0;
-  for (const auto& seat : roster->second.voters) {
-    const Machine* replica = cluster_->at(seat.address);
+  for (const auto& voter : roster->second.voters) {
+    const Machine* replica = cluster_->at(voter.address);
     const DecodedFile& file = replica->disk.synced();
     auto found = file.slots[slot].stamps.find(write.key);
     const bool may_be_dropped = write.removed && is_lot_key(write.key);  // a later transfer drops removed records
-    copies += file.identity == seat.holder &&
+    copies += file.identity == voter.holder &&
               (found == file.slots[slot].stamps.end() ? may_be_dropped && file.slots[slot].installed > reply.stamp.epoch
                                                       : found->second >= reply.stamp);
   }
@@ -210,9 +210,9 @@
   auto of_key = gossip_stamps_.find(key);
   if (of_key == gossip_stamps_.end()) return {};
   std::vector<Stamp> stamps;
-  for (const auto& seat : roster.voters) {
+  for (const auto& voter : roster.voters) {
     Stamp stamp;
-    if (auto times = of_key->second.find(cluster_->at(seat.address)->setup.name); times != of_key->second.end())
+    if (auto times = of_key->second.find(cluster_->at(voter.address)->setup.name); times != of_key->second.end())
       for (const auto& [since, value] : times->second)
         if (since <= time) stamp = value;
     stamps.push_back(stamp);
--- a/tests/platform_operator_history.cpp
+++ b/tests/platform_operator_history.cpp
@@ -170,7 +170,7 @@
     if (is_over()) return;
     Machine& machine = random_serving_machine();
     const std::string zone = "zone-" + std::to_string(world_.random.below(operator_count));
-    if (StoreClient* client = machine.client(); client != nullptr && !machine.frozen())
+    if (StoreClient* client = machine.client(); client != nullptr && !machine.suspended())
       client->read("zone/" + zone, seconds(1), [this, zone, invoked = time()](Result<ReadReply> result) {
         auto* reply = std::get_if<ReadReply>(&result);
         if (reply == nullptr) return;
@@ -212,7 +212,7 @@
   Machine* random_owner() {
     for (const StringView key : {configuration_key, StringView("zone/zone-0")})
       for (Machine* storage_node : cluster_.holders())
-        if (storage_node->alive() && !storage_node->frozen() && world_.random.below(3) > 0 &&
+        if (storage_node->alive() && !storage_node->suspended() && world_.random.below(3) > 0 &&
             storage_node->shared_state().owned.get()->slots.contains(slot_of(key)))
           return storage_node;
     return nullptr;
@@ -233,9 +233,9 @@
         ended();
       });
     } else if (selected_faults == FaultMix::owner_suspensions) {
-      machine->freeze();
+      machine->suspend();
       world_.after(duration, [machine, ended] {
-        machine->wake();
+        machine->resume();
         ended();
       });
     } else if (selected_faults == FaultMix::partitions) {
--- a/tests/platform_orders_test.cpp
+++ b/tests/platform_orders_test.cpp
@@ -215,15 +215,15 @@
   operators.world.armed_kind = "send store.read";
   operators.world.armed = 1;
   operators.world.strike = [&](const std::string& machine_name) {
-    if (machine_name == suspended_machine.name) suspended_machine.freeze();
+    if (machine_name == suspended_machine.name) suspended_machine.suspend();
   };
   operators.apis.send(suspended_machine, begin, [](OperatorResponse) {});
   operators.world.run_until(operators.world.now() + milliseconds(100));
-  REQUIRE(suspended_machine.frozen());
+  REQUIRE(suspended_machine.suspended());
   operators.world.armed_kind.clear();
   REQUIRE(operators.apis.call(other, begin).status == 200);
   REQUIRE(operators.apis.call(other, finish).status == 200);
-  suspended_machine.wake();
+  suspended_machine.resume();
   operators.world.run_until(operators.world.now() + seconds(3));
   CHECK_FALSE(other.shared_state().configuration.get()->evacuated(ZoneId("north")));
 }
--- a/tests/simulated_connections_test.cpp
+++ b/tests/simulated_connections_test.cpp
@@ -120,10 +120,10 @@
   frozen.pool->make_idle(frozen.connect(runner));
   dying.life->alive = false;
   dying.pool.reset();
-  world.freeze(frozen.life);
+  world.suspend(frozen.life);
   frozen.wait(milliseconds(2000));
   CHECK(runner.open() == 1);
-  world.wake(frozen.life);
+  world.resume(frozen.life);
   frozen.wait(close_delay);
   CHECK(runner.open() == 0);
 }
