--- a/source/host/daemon.hpp
+++ b/source/host/daemon.hpp
@@ -38,7 +38,7 @@
   // Creates the component's messenger and routes messages for the slice to the component's loop.
   void make_messenger(Worker& worker, const std::string& slice);
   Result<Success> listen();
-  void handle(ControlRequest request, ControlReplyCallback answer);
+  void handle(ControlRequest request, ControlReplyCallback send_reply);
   // The counters of all components, as the control API reports them.
   json::value load();
   // Takes over the seeds that the platform's settings now name. While this daemon has no lease, this is repeated each
--- a/source/host/http_client.cpp
+++ b/source/host/http_client.cpp
@@ -47,16 +47,16 @@
     return Error{sent ? ErrorKind::unknown : ErrorKind::lost, "address", "the call to " + to.text + " failed: " + what,
                  "check that the daemon is running, or name another daemon with --control"};
   }
-  HttpResponse answer;
-  answer.status = static_cast<int>(parser.get().result_int());
+  HttpResponse response;
+  response.status = static_cast<int>(parser.get().result_int());
   for (const auto& field : parser.get()) {
     std::string name(field.name_string());
     std::transform(name.begin(), name.end(), name.begin(),
                    [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
-    answer.headers[name] = std::string(field.value());
+    response.headers[name] = std::string(field.value());
   }
-  answer.body = std::move(parser.get().body());
-  return answer;
+  response.body = std::move(parser.get().body());
+  return response;
 }
 
 }  // namespace mothwalk
--- a/source/scale/loopback.cpp
+++ b/source/scale/loopback.cpp
@@ -86,7 +86,7 @@
       });
     }
     sessions_ = std::make_unique<Sessions>(*posts_["sessions"], shared_state, self, std::move(seeds));
-    news_ = std::make_unique<ConfigurationGossip>(*posts_["news"], shared_state, thread_.random(), false);
+    gossip_ = std::make_unique<ConfigurationGossip>(*posts_["news"], shared_state, thread_.random(), false);
     entries_ = std::make_unique<Router>(*posts_["routes"], shared_state, runner_client_, thread_.random(), self);
     client_ = std::make_unique<StoreClient>(*posts_["scale"], shared_state);
   }
@@ -94,7 +94,7 @@
     if (auto listening = transport_.listen(); error_of(listening)) return listening;
     thread_.try_post([this] {
       sessions_->start();
-      news_->start();
+      gossip_->start();
       entries_->start();
     });
     return Success{};
@@ -121,7 +121,7 @@
   NoExchange runner_client_;
   std::map<std::string, std::unique_ptr<Messenger>> posts_;
   std::unique_ptr<Sessions> sessions_;
-  std::unique_ptr<ConfigurationGossip> news_;
+  std::unique_ptr<ConfigurationGossip> gossip_;
   std::unique_ptr<Router> entries_;
   std::unique_ptr<StoreClient> client_;
 };
--- a/source/scale/scale.cpp
+++ b/source/scale/scale.cpp
@@ -68,8 +68,8 @@
   const PushUpdates spread{
       {ConfigurationUpdate{std::string(listing_key), Stamp{Epoch{1}, Version{1}}, false, to_cbor(listing)}}};
   Machine& machine = *cluster.machines.back();
-  machine.take(Envelope{Address("poller:1"), 1, "news", "listing", std::string(PushUpdates::kind), 0, false,
-                        to_cbor(spread), protocol_number});
+  machine.receive(Envelope{Address("poller:1"), 1, "news", "listing", std::string(PushUpdates::kind), 0, false,
+                           to_cbor(spread), protocol_number});
 }
 
 template <class Condition>
--- a/source/sessions/shared_state.cpp
+++ b/source/sessions/shared_state.cpp
@@ -71,13 +71,13 @@
   return member != nullptr && (is_lot_key(key) ? member->keeps_lots() : member->keeps_control()) ? voter : nullptr;
 }
 
-std::vector<const Member*> singleton_role_order(const Members& members, StringView duty, const ZoneId& zone) {
+std::vector<const Member*> singleton_role_order(const Members& members, StringView role, const ZoneId& zone) {
   std::vector<const Member*> order;
   for (const auto& [address, member] : members.all) order.push_back(&member);
   std::sort(order.begin(), order.end(), [&](const Member* left, const Member* right) {
     const bool left_here = left->zone == zone, right_here = right->zone == zone;
     if (left_here != right_here) return left_here;
-    return hash_of(left->address.text, hash_of(duty)) > hash_of(right->address.text, hash_of(duty));
+    return hash_of(left->address.text, hash_of(role)) > hash_of(right->address.text, hash_of(role));
   });
   return order;
 }
--- a/source/sessions/shared_state.hpp
+++ b/source/sessions/shared_state.hpp
@@ -142,6 +142,6 @@
 }
 // Returns all members in the order of preference for a singleton role, with those of the given zone first. All daemons
 // with the same members compute the same order.
-std::vector<const Member*> singleton_role_order(const Members& members, StringView duty, const ZoneId& zone);
+std::vector<const Member*> singleton_role_order(const Members& members, StringView role, const ZoneId& zone);
 
 }  // namespace mothwalk
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -150,7 +150,7 @@
   if (target == this) {
     auto shared = std::make_shared<Envelope>(std::move(envelope));
     return world.at(Duration{20}, life_, [this, shared] {
-      handle_in_order(shared->body.size(), [this, shared] { take(std::move(*shared)); });
+      handle_in_order(shared->body.size(), [this, shared] { receive(std::move(*shared)); });
     });
   }
   // The message is encoded and decoded as on a real connection, so that the simulation covers both.
@@ -168,7 +168,7 @@
   if (world.loss_fraction > 0 && world.random.uniform() < world.loss_fraction) return;
   auto arrive = [target, encoded] {
     target->handle_in_order(encoded->size(), [target, encoded] {
-      if (auto decoded = from_cbor<Envelope>(*encoded)) target->take(std::move(*decoded));
+      if (auto decoded = from_cbor<Envelope>(*encoded)) target->receive(std::move(*decoded));
     });
   };
   world.at(world.delay(zone, target->zone), target->life(), arrive);
@@ -197,12 +197,12 @@
   world.at(busy_until_ - world.now(), life_, std::move(task));
 }
 
-void Machine::take(Envelope envelope) {
+void Machine::receive(Envelope envelope) {
   if (!components_) return;
   cluster_.world.pass_fault_point("take " + (envelope.reply ? envelope.sender + " " + envelope.kind : envelope.kind),
                                   name);
   auto messenger = components_->messengers.find(envelope.slice);
-  if (messenger != components_->messengers.end()) messenger->second->take(std::move(envelope));
+  if (messenger != components_->messengers.end()) messenger->second->receive(std::move(envelope));
 }
 
 // ---- the cluster
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -24,7 +24,7 @@
           Duration time_per_kilobyte = {});
   void send(const Address& to, Envelope envelope) override;
   // Delivers a message to the component that it is addressed to.
-  void take(Envelope envelope);
+  void receive(Envelope envelope);
   void start();
   void kill(bool wipe);
   bool alive() const { return life_ && life_->alive; }
--- a/source/simulate/control_scenarios.cpp
+++ b/source/simulate/control_scenarios.cpp
@@ -56,14 +56,14 @@
       const bool affected = scope == CutScope::all_machines || keeps_control(*other) ||
                             (scope == CutScope::other_zones_also && other->zone != victim.zone);
       if (other.get() == &victim || !affected) continue;
-      if (direction != CutDirection::incoming) world_.cut(victim.name, other->name);
-      if (direction != CutDirection::outgoing) world_.cut(other->name, victim.name);
+      if (direction != CutDirection::incoming) world_.partition(victim.name, other->name);
+      if (direction != CutDirection::outgoing) world_.partition(other->name, victim.name);
     }
   }
 
   void heal_network() {
     world_.log_event("the network is mended");
-    world_.mend();
+    world_.heal();
     for (auto& [victim, since] : victims_) victim->mark_reconnected();
     victims_.clear();
   }
--- a/source/simulate/faults.cpp
+++ b/source/simulate/faults.cpp
@@ -51,14 +51,14 @@
   for (auto& machine : cluster.machines) zones.insert(machine->zone);
   for (const auto& other : zones) {
     if (other == zone) continue;
-    cluster.world.cut(zone, other);
-    if (both) cluster.world.cut(other, zone);
+    cluster.world.partition(zone, other);
+    if (both) cluster.world.partition(other, zone);
   }
   for (auto& machine : cluster.machines)
     if (machine->zone == zone || !both) machine->mark_cut_off();
   cluster.world.after(length, [&cluster] {
     cluster.world.log_event("the network is mended");
-    cluster.world.mend();
+    cluster.world.heal();
     for (auto& machine : cluster.machines) machine->mark_reconnected();
   });
 }
--- a/source/simulate/scenarios.cpp
+++ b/source/simulate/scenarios.cpp
@@ -98,12 +98,12 @@
       for (auto& machine : cluster.machines) {
         machine->mark_cut_off();
         for (auto& other : cluster.machines)
-          if (machine->zone != other->zone) cluster.world.cut(machine->zone, other->zone);
+          if (machine->zone != other->zone) cluster.world.partition(machine->zone, other->zone);
       }
     });
     cluster.world.after(seconds(9), [&cluster] {
       cluster.world.log_event("the network is mended");
-      cluster.world.mend();
+      cluster.world.heal();
       for (auto& machine : cluster.machines) machine->mark_reconnected();
     });
   });
--- a/source/simulate/world.cpp
+++ b/source/simulate/world.cpp
@@ -61,10 +61,10 @@
 
 bool World::is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
                    const std::string& to_zone) const {
-  if (cuts_.empty()) return false;
+  if (partitions_.empty()) return false;
   for (const auto& sender : {from, from_zone, std::string("*")})
     for (const auto& receiver : {to, to_zone, std::string("*")})
-      if (cuts_.contains({sender, receiver})) return true;
+      if (partitions_.contains({sender, receiver})) return true;
   return false;
 }
 
--- a/source/simulate/world.hpp
+++ b/source/simulate/world.hpp
@@ -55,12 +55,12 @@
   void resume(const LifePointer& life);
 
   // The network between machines and runners. The delay of one message is random; shortest_delay is its lower bound.
-  // `cut` blocks messages in one direction. Each end is the name of a machine, a runner or a zone, or "*" for all.
-  // `mend` removes all blocks.
+  // `partition` blocks messages in one direction. Each end is the name of a machine, a runner or a zone, or "*" for
+  // all. `heal` removes all blocks.
   Duration delay(const std::string& from_zone, const std::string& to_zone);
   static Duration shortest_delay(const std::string& from_zone, const std::string& to_zone);
-  void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
-  void mend() { cuts_.clear(); }
+  void partition(const std::string& from, const std::string& to) { partitions_.insert({from, to}); }
+  void heal() { partitions_.clear(); }
   bool is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
               const std::string& to_zone) const;
   // The messages sent between machines and their size, by message name, counted while `measuring` is set. Then the
@@ -106,7 +106,7 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
   TimePoint now_{1};
   std::uint64_t last_order_ = 0;
-  std::set<std::pair<std::string, std::string>> cuts_;  // Blocked directions: sender and receiver.
+  std::set<std::pair<std::string, std::string>> partitions_;  // Blocked directions: sender and receiver.
   std::vector<json::object> ledger_;
   std::vector<std::string> event_log_;
 };
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -19,18 +19,18 @@
 
 // A single seed that gets its messages from the test.
 struct Seed {
-  CapturingTransport wire;
+  CapturingTransport transport;
   World world{1};
   SimulatedTimers timers{world, std::make_shared<Life>()};
   SharedState shared_state;
-  Messenger messenger{wire, timers, Address("10.0.0.9:1"), 1, "founding"};
+  Messenger messenger{transport, timers, Address("10.0.0.9:1"), 1, "founding"};
   RosterBootstrap founding;
   explicit Seed(bool first_start) : founding(messenger, shared_state, first_start) {}
   template <class Message>
   typename Message::Reply deliver(const std::string& from, const Message& message) {
     messenger.receive(Envelope{Address(from), 1, "founding", "store", std::string(Message::kind), 5, false,
                                to_cbor(message), protocol_number});
-    return *from_cbor<typename Message::Reply>(wire.last.body);
+    return *from_cbor<typename Message::Reply>(transport.last.body);
   }
 };
 
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -379,11 +379,11 @@
     std::vector<Envelope> sent;
   };
   for (const bool unknown_before : {false, true}) {
-    RecordingTransport wire;
+    RecordingTransport transport;
     simulate::World world(3);
     simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
     const Address owner("10.0.0.2:1");
-    Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "control");
+    Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "control");
     SharedState shared_state;
     ConfigurationView view;
     const Bytes roster = R"({"version":1,"seats":[{"holder":"holder","address":"10.0.0.2:1","zone":"h"}]})";
@@ -398,14 +398,14 @@
     client.submit(SubmitLot{"lot", OwnerFixture::make_batch(1)}, seconds(2),
                   [&](Result<LotStatus> result) { outcome = std::move(result); });
     auto send_error = [&](ErrorKind kind) {
-      messenger.receive(Envelope{owner, 1, "control", "lots", "fault", wire.sent.back().call, true,
+      messenger.receive(Envelope{owner, 1, "control", "lots", "fault", transport.sent.back().call, true,
                                  to_cbor(WireError{static_cast<std::int32_t>(kind), "lots", "no", "again"}),
                                  protocol_number});
       world.run_until(world.now() + milliseconds(150));
     };
-    REQUIRE(wire.sent.size() == 1);
+    REQUIRE(transport.sent.size() == 1);
     if (unknown_before) send_error(ErrorKind::unknown);
-    REQUIRE(wire.sent.size() == (unknown_before ? 2u : 1u));
+    REQUIRE(transport.sent.size() == (unknown_before ? 2u : 1u));
     send_error(ErrorKind::refused);
     REQUIRE(outcome);
     REQUIRE(error_of(*outcome) != nullptr);
--- a/tests/lots_test.cpp
+++ b/tests/lots_test.cpp
@@ -20,11 +20,11 @@
 }  // namespace
 
 TEST_CASE("an owner that no majority confirms neither dismisses a report nor denies that a lot exists") {
-  RecordingTransport wire;
+  RecordingTransport transport;
   simulate::World world(3);
   simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
   const Address self("10.0.0.1:1"), placer("10.0.0.2:1");
-  Messenger messenger(wire, timers, self, 1, "lots");
+  Messenger messenger(transport, timers, self, 1, "lots");
   SharedState shared_state;
   Lots lots(messenger, shared_state);
   const std::uint32_t slot = slot_of("lot/unheard-of");
@@ -38,32 +38,32 @@
                                                 : to_cbor(ConfirmReply{}),
                  protocol_number});
   };
-  REQUIRE(wire.last("store.list") != nullptr);
-  reply_to(*wire.last("store.list"), false);
+  REQUIRE(transport.last("store.list") != nullptr);
+  reply_to(*transport.last("store.list"), false);
   for (bool confirmed_as_owner : {false, true}) {
     messenger.receive(Envelope{placer, 1, "lots", "placing", "lots.finish", 77, false,
                                to_cbor(ReportItems{{ItemReport{"unheard-of", 0, 1, "answer", 200, "done"}}}),
                                protocol_number});
-    REQUIRE(wire.last("store.confirmslot") != nullptr);
-    reply_to(*wire.last("store.confirmslot"), !confirmed_as_owner);
-    CHECK(wire.sent.back().call == 77);
-    CHECK(wire.sent.back().kind == (confirmed_as_owner ? "reply" : "fault"));
+    REQUIRE(transport.last("store.confirmslot") != nullptr);
+    reply_to(*transport.last("store.confirmslot"), !confirmed_as_owner);
+    CHECK(transport.sent.back().call == 77);
+    CHECK(transport.sent.back().kind == (confirmed_as_owner ? "reply" : "fault"));
     messenger.receive(Envelope{placer, 1, "lots", "control", "lots.cancel", 78, false, to_cbor(CancelLot{"unheard-of"}),
                                protocol_number});
-    reply_to(*wire.last("store.confirmslot"), !confirmed_as_owner);
-    CHECK(wire.sent.back().call == 78);
-    const auto error = from_cbor<WireError>(wire.sent.back().body);
+    reply_to(*transport.last("store.confirmslot"), !confirmed_as_owner);
+    CHECK(transport.sent.back().call == 78);
+    const auto error = from_cbor<WireError>(transport.sent.back().body);
     REQUIRE(error);
     CHECK(error->kind == static_cast<std::int32_t>(confirmed_as_owner ? ErrorKind::unknown_name : ErrorKind::busy));
   }
 }
 
 TEST_CASE("of two placers that compete for a runner only the one with the higher term gets items") {
-  RecordingTransport wire;
+  RecordingTransport transport;
   simulate::World world(3);
   simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
   const Address self("10.0.0.1:1"), old_placer("10.0.0.2:1"), new_placer("10.0.0.3:1");
-  Messenger messenger(wire, timers, self, 1, "lots");
+  Messenger messenger(transport, timers, self, 1, "lots");
   SharedState shared_state;
   Members members;
   for (const auto& [address, incarnation] : {std::pair{old_placer, 5u}, std::pair{new_placer, 6u}}) {
@@ -75,7 +75,7 @@
   auto fetch = [&](const Address& placer, std::uint64_t term) {
     messenger.receive(Envelope{placer, 1, "lots", "placing", "lots.fetch", 9, false,
                                to_cbor(FetchItems{"model", "model-1", 4, term, 0}), protocol_number});
-    return wire.sent.back().kind;
+    return transport.sent.back().kind;
   };
   CHECK(fetch(old_placer, 3) == "reply");
   CHECK(fetch(new_placer, 3) == "fault");
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -103,7 +103,7 @@
 void Machine::receive(Envelope envelope) {
   if (!components_) return;
   auto messenger = components_->messengers.find(envelope.slice);
-  if (messenger != components_->messengers.end()) messenger->second->take(std::move(envelope));
+  if (messenger != components_->messengers.end()) messenger->second->receive(std::move(envelope));
 }
 
 // ---- Cluster
--- a/tests/platform_operator_history.cpp
+++ b/tests/platform_operator_history.cpp
@@ -241,7 +241,7 @@
     } else if (selected_faults == FaultMix::partitions) {
       partition(*machine, world_.random.below(3));
       world_.after(duration, [this, ended] {
-        world_.mend();
+        world_.heal();
         ended();
       });
     } else {
@@ -258,8 +258,8 @@
   void partition(Machine& machine, std::uint64_t direction) {
     for (auto& other : cluster_.machines) {
       if (other.get() == &machine) continue;
-      if (direction != 1) world_.cut(machine.name, other->name);
-      if (direction != 2) world_.cut(other->name, machine.name);
+      if (direction != 1) world_.partition(machine.name, other->name);
+      if (direction != 2) world_.partition(other->name, machine.name);
     }
   }
 
--- a/tests/platform_orders_test.cpp
+++ b/tests/platform_orders_test.cpp
@@ -245,14 +245,14 @@
   Machine& isolated = *edges.back();
   for (auto& each : operators.cluster.machines)
     if (each.get() != &isolated)
-      operators.world.cut(isolated.name, each->name), operators.world.cut(each->name, isolated.name);
+      operators.world.partition(isolated.name, each->name), operators.world.partition(each->name, isolated.name);
   operators.world.run_until(operators.world.now() + seconds(8));
   for (const auto& request : {retire(*storage[0]), OperatorRequest{"POST", "/v1/Retire.Begin/nobody"}}) {
     const int status = operators.apis.call(isolated, request, seconds(9)).status;
     INFO(status);
     CHECK(status >= 500);
   }
-  operators.world.mend();
+  operators.world.heal();
   operators.world.run_until(operators.world.now() + seconds(3));
   // Of two concurrent retirements only one may be accepted.
   std::map<int, int> statuses;
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -115,7 +115,7 @@
       if (envelope.reply) last = std::move(envelope);
     }
     Envelope last;
-  } wire;
+  } transport;
   SimulatedDisk disk(world, "place");
   const Address self("10.0.0.1:1"), owner("10.0.0.2:1");
   const StorageNodeId third_node("mine"), owner_id("theirs");
@@ -126,7 +126,7 @@
     disk.own(life);
     SimulatedTimers timers(world, life);
     SharedState shared_state;
-    Messenger messenger(wire, timers, self, 1, "store");
+    Messenger messenger(transport, timers, self, 1, "store");
     Member member;
     member.address = self;
     ReplicatedStore store(messenger, shared_state, disk, world.random, member, {}, ReplicatedStore::Report{});
@@ -148,21 +148,21 @@
     change.head = "new";
     if (run == 0) {
       deliver(Promise{identity, owner_id, 3, Epoch{7}, roster});
-      CHECK(from_cbor<PromiseReply>(wire.last.body)->granted);
+      CHECK(from_cbor<PromiseReply>(transport.last.body)->granted);
       deliver(Store{identity, owner_id, 3, Epoch{7}, Version{1}, change});
-      CHECK(from_cbor<StoreReply>(wire.last.body)->outcome == "stored");
+      CHECK(from_cbor<StoreReply>(transport.last.body)->outcome == "stored");
     }
     // A promise of the same epoch and messages of lower epochs are refused, before and after the restart. A message for
     // another identity gets an error.
     deliver(Promise{identity, third_node, 3, Epoch{7}, roster});
-    CHECK_FALSE(from_cbor<PromiseReply>(wire.last.body)->granted);
+    CHECK_FALSE(from_cbor<PromiseReply>(transport.last.body)->granted);
     change.stamp = Stamp{Epoch{6}, Version{9}};
     deliver(Store{identity, owner_id, 3, Epoch{6}, Version{1}, change});
-    CHECK(from_cbor<StoreReply>(wire.last.body)->outcome == "refused");
+    CHECK(from_cbor<StoreReply>(transport.last.body)->outcome == "refused");
     deliver(Promise{StorageNodeId("wiped"), owner_id, 3, Epoch{99}, roster});
-    CHECK(wire.last.kind == "fault");
+    CHECK(transport.last.kind == "fault");
     deliver(ListStamps{3});
-    const auto range = from_cbor<ListStampsReply>(wire.last.body);
+    const auto range = from_cbor<ListStampsReply>(transport.last.body);
     REQUIRE(range->stamps.size() == 1);
     CHECK(range->stamps[0].stamp == Stamp{Epoch{7}, Version{1}});
     life->alive = false;
@@ -182,7 +182,7 @@
     }
     Envelope last;
     std::deque<Envelope> requests;
-  } wire;
+  } transport;
   SimulatedDisk disk(world, "place");
   disk.set_capacity(disk_limit);
   auto life = std::make_shared<Life>();
@@ -191,7 +191,7 @@
   SharedState shared_state;
   const Address self("10.0.0.1:1"), owner("10.0.0.2:1");
   const StorageNodeId owner_id("theirs");
-  Messenger messenger(wire, timers, self, 1, "store");
+  Messenger messenger(transport, timers, self, 1, "store");
   Member member;
   member.address = self;
   member.keeps = "lots";
@@ -208,7 +208,7 @@
     world.run_until(world.now() + milliseconds(20));
   };
   auto outcome = [&] {
-    return from_cbor<StoreReply>(wire.last.body)->outcome;
+    return from_cbor<StoreReply>(transport.last.body)->outcome;
   };
   std::vector<std::string> keys;
   for (int number = 0; keys.size() < 60; ++number)
@@ -242,17 +242,17 @@
   deliver(CopyRecords{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
   CHECK(outcome() == "refused");
   deliver(Promise{identity, owner_id, 3, Epoch{8}, roster});
-  CHECK(from_cbor<PromiseReply>(wire.last.body)->granted);
+  CHECK(from_cbor<PromiseReply>(transport.last.body)->granted);
   deliver(ListStamps{3});
-  CHECK(from_cbor<ListStampsReply>(wire.last.body)->stamps.size() == stored);
+  CHECK(from_cbor<ListStampsReply>(transport.last.body)->stamps.size() == stored);
   // Another voter has one more record, which the repair fetches.
   copy.stamp = copy.written = Stamp{Epoch{8}, Version{1}};
   copy.head = Bytes(3u << 20, 'l');
   bool record_fetched = false;
   for (const TimePoint end = world.now() + seconds(3); world.now() < end;
        world.run_until(world.now() + milliseconds(20)))
-    for (; !wire.requests.empty(); wire.requests.pop_front()) {
-      const Envelope request = wire.requests.front();
+    for (; !transport.requests.empty(); transport.requests.pop_front()) {
+      const Envelope request = transport.requests.front();
       auto send_reply = [&](const auto& reply) {
         messenger.receive(
             Envelope{owner, 1, "store", "store", "reply", request.call, true, to_cbor(reply), protocol_number});
@@ -272,10 +272,10 @@
   class DiscardingTransport : public Transport {
    public:
     void send(const Address&, Envelope) override {}
-  } wire;
+  } transport;
   World world(10);
   SimulatedTimers timers(world, std::make_shared<Life>());
-  Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "news");
+  Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
   ConfigurationGossip gossip(messenger, shared_state, world.random, false);
   auto push_update = [&](std::uint64_t epoch, std::uint64_t version, bool removed) {
@@ -307,24 +307,24 @@
    public:
     void send(const Address&, Envelope envelope) override { sent.push_back(std::move(envelope)); }
     std::vector<Envelope> sent;
-  } wire;
+  } transport;
   World world(8);
   SimulatedTimers timers(world, std::make_shared<Life>());
-  Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "news");
+  Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
   ConfigurationGossip gossip(messenger, shared_state, world.random, false);
   messenger.receive(Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.compare", 5, false, to_cbor(Compare{}),
                              protocol_number + 1});
-  REQUIRE(wire.sent.size() == 1);
-  CHECK((wire.sent[0].reply && wire.sent[0].kind == "fault" && wire.sent[0].call == 5));
-  CHECK(from_cbor<WireError>(wire.sent[0].body)->field == "protocol");
+  REQUIRE(transport.sent.size() == 1);
+  CHECK((transport.sent[0].reply && transport.sent[0].kind == "fault" && transport.sent[0].call == 5));
+  CHECK(from_cbor<WireError>(transport.sent[0].body)->field == "protocol");
   // In the other direction, an error from a newer daemon reaches the sender of the request.
   std::string error_field;
   messenger.request(Address("10.0.0.2:1"), Compare{}, milliseconds(100),
                     [&](Result<CompareReply> result) { error_field = error_of(result)->field; });
-  Envelope refusal = wire.sent[0];
+  Envelope refusal = transport.sent[0];
   refusal.from = Address("10.0.0.2:1");
-  refusal.call = wire.sent.back().call;
+  refusal.call = transport.sent.back().call;
   refusal.protocol = protocol_number + 1;
   messenger.receive(refusal);
   CHECK(error_field == "protocol");
