--- a/source/scale/scale.cpp
+++ b/source/scale/scale.cpp
@@ -93,7 +93,7 @@
   world.traffic.clear();
   std::map<Machine*, std::uint64_t> sent;
   for (auto& machine : cluster.machines) {
-    machine->life()->processor = machine->bytes_in = 0;
+    machine->process()->processor = machine->bytes_in = 0;
     sent[machine.get()] = machine->bytes;
   }
   world.measuring = true;
@@ -108,7 +108,7 @@
                  : machine->keeps == "lots"  ? figures.storage
                                              : figures.edge;
     daemons[&role] += 1;
-    role.processor += static_cast<double>(machine->life()->processor) / 1e3 / figures.seconds;
+    role.processor += static_cast<double>(machine->process()->processor) / 1e3 / figures.seconds;
     role.bytes_out += static_cast<double>(machine->bytes - sent[machine.get()]) / figures.seconds;
     role.bytes_in += static_cast<double>(machine->bytes_in) / figures.seconds;
   }
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -33,11 +33,11 @@
 
 void Machine::start() {
   World& world = cluster_.world;
-  life_ = std::make_shared<Life>();
+  process_ = std::make_shared<ProcessState>();
   shared_state_ = std::make_unique<SharedState>();
-  timers_ = std::make_unique<SimulatedTimers>(world, life_);
+  timers_ = std::make_unique<SimulatedTimers>(world, process_);
   components_ = std::make_unique<Components>();
-  disk_.own(life_);
+  disk_.own(process_);
   undisturbed_since = busy_until_ = world.now();
   incarnation_ =
       new_incarnation(std::chrono::hours(1000000) + clock_offset + (world.now() - TimePoint{}), world.random);
@@ -80,8 +80,8 @@
       components_->circle = std::make_unique<CircleManager>(messenger("circle"), *shared_state_);
     if (self.keeps_lots()) components_->lots = std::make_unique<Lots>(messenger("lots"), *shared_state_);
   }
-  components_->live_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, life_);
-  components_->lot_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, life_);
+  components_->live_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, process_);
+  components_->lot_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, process_);
   components_->sessions = std::make_unique<Sessions>(messenger("sessions"), *shared_state_, self, seeds);
   components_->gossip =
       std::make_unique<ConfigurationGossip>(messenger("news"), *shared_state_, world.random, self.keeps_control());
@@ -106,7 +106,7 @@
 void Machine::kill(bool wipe) {
   if (!alive()) return;
   cluster_.world.log_event(name + (wipe ? " is killed and wiped" : " is killed"));
-  life_->alive = false;
+  process_->alive = false;
   disk_.crash();
   if (wipe) disk_.wipe();
   // One of the components may be on the stack, so they are destroyed between events.
@@ -125,16 +125,16 @@
 }
 
 void Machine::suspend() {
-  if (!alive() || life_->suspended) return;
+  if (!alive() || process_->suspended) return;
   cluster_.world.log_event(name + " freezes");
-  cluster_.world.suspend(life_);
+  cluster_.world.suspend(process_);
 }
 
 void Machine::resume() {
   if (!suspended()) return;
   cluster_.world.log_event(name + " wakes");
   undisturbed_since = cluster_.world.now();
-  cluster_.world.resume(life_);
+  cluster_.world.resume(process_);
 }
 
 void Machine::mark_reconnected() {
@@ -149,7 +149,7 @@
   if (target == nullptr || !target->alive()) return;
   if (target == this) {
     auto shared = std::make_shared<Envelope>(std::move(envelope));
-    return world.at(Duration{20}, life_, [this, shared] {
+    return world.at(Duration{20}, process_, [this, shared] {
       handle_in_order(shared->body.size(), [this, shared] { receive(std::move(*shared)); });
     });
   }
@@ -164,18 +164,18 @@
     traffic.bytes += encoded->size() + 4;
     target->bytes_in += encoded->size() + 4;
   }
-  if (world.is_cut(name, zone, target->name, target->zone)) return;
+  if (world.is_blocked(name, zone, target->name, target->zone)) return;
   if (world.loss_fraction > 0 && world.random.uniform() < world.loss_fraction) return;
   auto arrive = [target, encoded] {
     target->handle_in_order(encoded->size(), [target, encoded] {
       if (auto decoded = from_cbor<Envelope>(*encoded)) target->receive(std::move(*decoded));
     });
   };
-  world.at(world.delay(zone, target->zone), target->life(), arrive);
+  world.at(world.delay(zone, target->zone), target->process(), arrive);
   if (world.repeats > 0 && world.random.uniform() < world.repeats)
     world.at(
         Duration(static_cast<std::int64_t>(world.random.below(static_cast<std::size_t>(max_duplicate_delay.count())))),
-        target->life(), arrive);
+        target->process(), arrive);
 }
 
 // A process that can't open its data folder exits. The platform starts it again after a pause, whether or not the disk
@@ -194,7 +194,7 @@
   World& world = cluster_.world;
   const Duration time(time_per_kilobyte_.count() * static_cast<std::int64_t>(size) / 1024);
   busy_until_ = std::max(busy_until_, world.now()) + time;
-  world.at(busy_until_ - world.now(), life_, std::move(task));
+  world.at(busy_until_ - world.now(), process_, std::move(task));
 }
 
 void Machine::receive(Envelope envelope) {
@@ -372,11 +372,11 @@
     world.after(Duration(500), [then] { then(0, ""); });
     return;
   }
-  calls_[number] = Call{&machine, machine.life(), [finish] {
+  calls_[number] = Call{&machine, machine.process(), [finish] {
                           finish(0, "");
                         }};
   world.after(std::chrono::seconds(8), [finish] { finish(0, ""); });
-  world.at(Duration(300), machine.life(), [&machine, method, target, body, client_interface, finish] {
+  world.at(Duration(300), machine.process(), [&machine, method, target, body, client_interface, finish] {
     if (machine.control() == nullptr) return;
     machine.control()->handle(ControlRequest{method, target, body, client_interface},
                               [finish](ControlReply reply) { finish(reply.status, json::serialize(reply.body)); });
@@ -386,7 +386,7 @@
 void SimulatedCluster::on_machine_killed(Machine& machine) {
   std::vector<std::function<void()>> callbacks;
   for (const auto& [number, call] : calls_)
-    if (call.machine == &machine && !call.life->alive) callbacks.push_back(call.on_machine_killed);
+    if (call.machine == &machine && !call.process->alive) callbacks.push_back(call.on_machine_killed);
   for (auto& each : callbacks) each();
 }
 
@@ -594,10 +594,10 @@
       });
   if (slow_client_interval > 0 && number % slow_client_interval == 0)
     client->read_slowly(number % (5 * slow_client_interval) == 0);
-  calls_[call] = Call{machine, machine->life(), [client] {
+  calls_[call] = Call{machine, machine->process(), [client] {
                         client->on_machine_killed();
                       }};
-  world.at(Duration(300), machine->life(), [machine, request, client] {
+  world.at(Duration(300), machine->process(), [machine, request, client] {
     if (machine->router() != nullptr) machine->router()->submit(request, client);
   });
 }
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -27,8 +27,8 @@
   void receive(Envelope envelope);
   void start();
   void kill(bool wipe);
-  bool alive() const { return life_ && life_->alive; }
-  bool suspended() const { return alive() && life_->suspended; }
+  bool alive() const { return process_ && process_->alive; }
+  bool suspended() const { return alive() && process_->suspended; }
   void suspend();
   std::uint64_t incarnation() const { return incarnation_; }
   // A machine that is cut off from others need not be up to date until it is connected again.
@@ -44,7 +44,7 @@
   const Address address;
   SharedState& shared_state() { return *shared_state_; }
   SimulatedDisk& disk() { return disk_; }
-  LifePointer life() { return life_; }
+  ProcessPointer process() { return process_; }
   Router* router() { return components_ ? components_->router.get() : nullptr; }
   const CircleManager* circle() const { return components_ ? components_->circle.get() : nullptr; }
   StoreClient* client() { return components_ ? components_->client.get() : nullptr; }
@@ -81,7 +81,7 @@
   SimulatedCluster& cluster_;
   const Duration time_per_kilobyte_;
   TimePoint busy_until_;
-  LifePointer life_;
+  ProcessPointer process_;
   std::unique_ptr<SharedState> shared_state_ = std::make_unique<SharedState>();
   std::unique_ptr<SimulatedTimers> timers_;
   SimulatedDisk disk_;
@@ -149,7 +149,7 @@
   // A request in progress from a client or an operator; `lost` is called when its machine is killed.
   struct Call {
     Machine* machine = nullptr;
-    LifePointer life;
+    ProcessPointer process;
     std::function<void()> on_machine_killed;
   };
   struct LotState;  // A lot (batch) that a client has submitted, with the results it has read so far.
--- a/source/simulate/simulated_connections.cpp
+++ b/source/simulate/simulated_connections.cpp
@@ -88,7 +88,7 @@
   pool.idle.push_back(connection);
   connection->idle = true;
   connection->idle_since = world_.now();
-  world_.at(max_idle(*connection->runner), life_,
+  world_.at(max_idle(*connection->runner), process_,
             [this, weak = std::weak_ptr(connection), idle_since = connection->idle_since] {
               const auto connection = weak.lock();
               if (connection && connection->idle && connection->idle_since == idle_since) close(connection);
--- a/source/simulate/simulated_connections.hpp
+++ b/source/simulate/simulated_connections.hpp
@@ -48,7 +48,7 @@
 // The connections of one runner client. They are closed when their process dies.
 class SimulatedConnectionPool {
  public:
-  SimulatedConnectionPool(World& world, LifePointer life) : world_(world), life_(std::move(life)) {}
+  SimulatedConnectionPool(World& world, ProcessPointer process) : world_(world), process_(std::move(process)) {}
   ~SimulatedConnectionPool();
   // The most recently used idle connection, if this request may reuse it; null if a new connection is needed.
   SimulatedConnectionPointer take_idle(const std::string& key, bool repeatable);
@@ -70,7 +70,7 @@
     std::size_t open() const { return idle.size() + busy.size(); }
   };
   World& world_;
-  LifePointer life_;
+  ProcessPointer process_;
   std::map<std::string, Pool> pools_;
 };
 
--- a/source/simulate/simulated_runner_client.cpp
+++ b/source/simulate/simulated_runner_client.cpp
@@ -16,12 +16,12 @@
 }  // namespace
 
 SimulatedRunnerClient::SimulatedRunnerClient(SimulatedCluster& cluster, std::string machine_name, std::string zone,
-                                             LifePointer life)
+                                             ProcessPointer process)
     : cluster_(cluster),
       machine_name_(std::move(machine_name)),
       zone_(std::move(zone)),
-      life_(std::move(life)),
-      connections_(cluster.world, life_) {}
+      process_(std::move(process)),
+      connections_(cluster.world, process_) {}
 
 RunnerClient::Id SimulatedRunnerClient::start(const AttemptRequest& request,
                                               std::shared_ptr<AttemptObserver> observer) {
@@ -45,16 +45,16 @@
 void SimulatedRunnerClient::dispatch(Id id, const AttemptPointer& attempt) {
   World& world = cluster_.world;
   const AttemptRequest& request = attempt->request;
-  const bool reachable =
-      attempt->runner != nullptr && !world.is_cut(machine_name_, zone_, attempt->runner->name, attempt->runner->zone);
+  const bool reachable = attempt->runner != nullptr &&
+                         !world.is_blocked(machine_name_, zone_, attempt->runner->name, attempt->runner->zone);
   if (!reachable) {
-    world.at(request.connecting, life_, [this, id, attempt] { finish(id, attempt, AttemptOutcome::not_sent); });
+    world.at(request.connecting, process_, [this, id, attempt] { finish(id, attempt, AttemptOutcome::not_sent); });
     return;
   }
   RunnerModel& runner = *attempt->runner;
   const Duration latency = world.delay(zone_, runner.zone);
   if (runner.down) {
-    world.at(latency * 2, life_, [this, id, attempt] { finish(id, attempt, AttemptOutcome::not_sent); });
+    world.at(latency * 2, process_, [this, id, attempt] { finish(id, attempt, AttemptOutcome::not_sent); });
     return;
   }
   attempt->runner_incarnation = runner.incarnation;
@@ -68,7 +68,7 @@
     attempt->connection =
         connections_.open(key, runner.connections, World::shortest_delay(zone_, runner.zone), request.connections);
   }
-  world.at(latency, life_, [this, id, attempt, latency] { connected(id, attempt, latency); });
+  world.at(latency, process_, [this, id, attempt, latency] { connected(id, attempt, latency); });
 }
 
 void SimulatedRunnerClient::connected(Id id, const AttemptPointer& attempt, Duration latency) {
@@ -83,8 +83,8 @@
 
 // Sends the request over an established connection. It arrives even if the daemon dies in the meantime.
 void SimulatedRunnerClient::transmit(Id id, const AttemptPointer& attempt, Duration latency) {
-  cluster_.world.after(latency, [this, id, attempt, life = life_, &cluster = cluster_] {
-    if (life->alive) return arrive_at_runner(id, attempt, life);
+  cluster_.world.after(latency, [this, id, attempt, process = process_, &cluster = cluster_] {
+    if (process->alive) return arrive_at_runner(id, attempt, process);
     // The daemon is dead, but the runner still executes the request.
     RunnerModel& runner = *attempt->runner;
     if (runner.incarnation != attempt->runner_incarnation || runner.mode != "sound" || runner.active >= runner.slots)
@@ -118,7 +118,7 @@
 
 void SimulatedRunnerClient::start_watchdog(Id id, const AttemptPointer& attempt, Duration budget) {
   const std::uint64_t generation = ++attempt->watchdog_generation;
-  cluster_.world.at(budget, life_, [this, id, attempt, generation] {
+  cluster_.world.at(budget, process_, [this, id, attempt, generation] {
     if (attempt->watchdog_generation == generation && attempts_.contains(id)) {
       release_slot(cluster_, attempt, "abandoned");
       finish(id, attempt, AttemptOutcome::timed_out);
@@ -126,7 +126,7 @@
   });
 }
 
-void SimulatedRunnerClient::arrive_at_runner(Id id, const AttemptPointer& attempt, const LifePointer& life) {
+void SimulatedRunnerClient::arrive_at_runner(Id id, const AttemptPointer& attempt, const ProcessPointer& process) {
   RunnerModel& runner = *attempt->runner;
   if (runner.incarnation != attempt->runner_incarnation || runner.down)
     return deliver_to_daemon(id, attempt, [this, id, attempt] { connection_lost(id, attempt); });
@@ -148,8 +148,8 @@
       attempt->observer->on_head(429, {});
       if (attempts_.contains(id)) finish(id, attempt, AttemptOutcome::complete);
     });
-  runner.waiting.push_back([this, id, attempt, life] {
-    if (!life->alive || !attempts_.contains(id)) return;
+  runner.waiting.push_back([this, id, attempt, process] {
+    if (!process->alive || !attempts_.contains(id)) return;
     start_run(id, attempt);
   });
 }
@@ -171,8 +171,8 @@
   RunnerModel& runner = *attempt->runner;
   World& world = cluster_.world;
   record_run_start(cluster_, attempt);
-  runner.on_crash[attempt->run] = [this, id, attempt, life = life_] {
-    if (life->alive && attempts_.contains(id))
+  runner.on_crash[attempt->run] = [this, id, attempt, process = process_] {
+    if (process->alive && attempts_.contains(id))
       deliver_to_daemon(id, attempt, [this, id, attempt] { connection_lost(id, attempt); });
   };
   const std::string& body = *attempt->request.body;
@@ -193,8 +193,8 @@
   }
   const double factor = (runner.mode == "slow" ? 6.0 : 1.0) * (world.now() < runner.cold_until ? 2.0 : 1.0);
   world.after(Duration(static_cast<std::int64_t>((1.0 + uncached_bytes / 1024.0 * 2.0) * factor * 1000)),
-              [this, id, attempt, life = life_, &cluster = cluster_] {
-                if (life->alive)
+              [this, id, attempt, process = process_, &cluster = cluster_] {
+                if (process->alive)
                   send_next_chunk(id, attempt);
                 else
                   release_slot(cluster, attempt, "orphaned");
@@ -224,8 +224,8 @@
   if (attempt->ended || runner.incarnation != attempt->runner_incarnation) return;
   const double factor = (runner.mode == "slow" ? 6.0 : 1.0) * (world.now() < runner.cold_until ? 2.0 : 1.0);
   const Duration chunk_interval(static_cast<std::int64_t>(8000 * factor));
-  auto next = [this, id, attempt, life = life_, &cluster = cluster_] {
-    if (life->alive)
+  auto next = [this, id, attempt, process = process_, &cluster = cluster_] {
+    if (process->alive)
       send_next_chunk(id, attempt);
     else
       release_slot(cluster, attempt, "orphaned");
@@ -273,9 +273,9 @@
 void SimulatedRunnerClient::deliver_to_daemon(Id id, const AttemptPointer& attempt,
                                               std::function<void()> notify_daemon) {
   World& world = cluster_.world;
-  if (world.is_cut(attempt->runner->name, attempt->runner->zone, machine_name_, zone_)) return;
+  if (world.is_blocked(attempt->runner->name, attempt->runner->zone, machine_name_, zone_)) return;
   const Duration latency = attempt->runner->zone == zone_ ? Duration(100) : Duration(1200);
-  world.at(latency, life_, [this, id, attempt, notify_daemon = std::move(notify_daemon)] {
+  world.at(latency, process_, [this, id, attempt, notify_daemon = std::move(notify_daemon)] {
     if (!attempts_.contains(id)) return;
     if (attempt->paused || !attempt->undelivered.empty())
       attempt->undelivered.push_back(notify_daemon);
@@ -306,7 +306,7 @@
   ++attempt->watchdog_generation;
   if (held) return;
   start_watchdog(id, attempt, attempt->request.between_pieces);
-  cluster_.world.at(Duration{0}, life_, [this, id, attempt] {
+  cluster_.world.at(Duration{0}, process_, [this, id, attempt] {
     while (!attempt->undelivered.empty() && !attempt->paused && attempts_.contains(id)) {
       Task next = std::move(attempt->undelivered.front());
       attempt->undelivered.pop_front();
--- a/source/simulate/simulated_runner_client.hpp
+++ b/source/simulate/simulated_runner_client.hpp
@@ -38,7 +38,7 @@
 // The runner client of one simulated process.
 class SimulatedRunnerClient : public RunnerClient {
  public:
-  SimulatedRunnerClient(SimulatedCluster& cluster, std::string machine_name, std::string zone, LifePointer life);
+  SimulatedRunnerClient(SimulatedCluster& cluster, std::string machine_name, std::string zone, ProcessPointer process);
   ~SimulatedRunnerClient() override;
   Id start(const AttemptRequest& request, std::shared_ptr<AttemptObserver> observer) override;
   void cancel(Id id) override;
@@ -68,7 +68,7 @@
   void dispatch(Id id, const AttemptPointer& attempt);
   void connected(Id id, const AttemptPointer& attempt, Duration latency);
   void transmit(Id id, const AttemptPointer& attempt, Duration latency);
-  void arrive_at_runner(Id id, const AttemptPointer& attempt, const LifePointer& life);
+  void arrive_at_runner(Id id, const AttemptPointer& attempt, const ProcessPointer& process);
   void connection_lost(Id id, const AttemptPointer& attempt);
   static void record_run_start(SimulatedCluster& cluster, const AttemptPointer& attempt);
   void start_run(Id id, const AttemptPointer& attempt);
@@ -80,7 +80,7 @@
 
   SimulatedCluster& cluster_;
   std::string machine_name_, zone_;
-  LifePointer life_;
+  ProcessPointer process_;
   SimulatedConnectionPool connections_;
   std::map<Id, AttemptPointer> attempts_;
   Id last_ = 0;
--- a/source/simulate/world.cpp
+++ b/source/simulate/world.cpp
@@ -15,8 +15,8 @@
 }
 }  // namespace
 
-void World::at(Duration delay, LifePointer life, Task task) {
-  queue_.push(Event{now_ + std::max(delay, Duration{0}), ++last_order_, std::move(life),
+void World::at(Duration delay, ProcessPointer process, Task task) {
+  queue_.push(Event{now_ + std::max(delay, Duration{0}), ++last_order_, std::move(process),
                     std::make_shared<Task>(std::move(task))});
 }
 
@@ -25,27 +25,27 @@
     Event event = queue_.top();
     queue_.pop();
     now_ = std::max(now_, event.time);
-    if (event.life && !event.life->alive) continue;
-    if (event.life && event.life->suspended) {
-      event.life->deferred.emplace_back(event.order, std::move(*event.task));
+    if (event.process && !event.process->alive) continue;
+    if (event.process && event.process->suspended) {
+      event.process->deferred.emplace_back(event.order, std::move(*event.task));
       continue;
     }
     ++events;
-    const std::uint64_t started_at = measuring && event.life ? processor_time() : 0;
+    const std::uint64_t started_at = measuring && event.process ? processor_time() : 0;
     (*event.task)();
     event.task.reset();
-    if (started_at > 0) event.life->processor += processor_time() - started_at;
+    if (started_at > 0) event.process->processor += processor_time() - started_at;
     destroyed_objects.clear();
   }
   now_ = std::max(now_, end);
 }
 
-void World::resume(const LifePointer& life) {
-  life->suspended = false;
-  auto tasks = std::move(life->deferred);
-  life->deferred.clear();
+void World::resume(const ProcessPointer& process) {
+  process->suspended = false;
+  auto tasks = std::move(process->deferred);
+  process->deferred.clear();
   std::sort(tasks.begin(), tasks.end(), [](const auto& left, const auto& right) { return left.first < right.first; });
-  for (auto& [order, task] : tasks) at(Duration{0}, life, std::move(task));
+  for (auto& [order, task] : tasks) at(Duration{0}, process, std::move(task));
 }
 
 Duration World::shortest_delay(const std::string& from_zone, const std::string& to_zone) {
@@ -59,8 +59,8 @@
   return Duration(base + static_cast<std::int64_t>(random.below(static_cast<std::size_t>(base))) + slow);
 }
 
-bool World::is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
-                   const std::string& to_zone) const {
+bool World::is_blocked(const std::string& from, const std::string& from_zone, const std::string& to,
+                       const std::string& to_zone) const {
   if (partitions_.empty()) return false;
   for (const auto& sender : {from, from_zone, std::string("*")})
     for (const auto& receiver : {to, to_zone, std::string("*")})
@@ -87,14 +87,14 @@
 Timers::Id SimulatedTimers::after(Duration delay, Task task) {
   const Id id = ++last_id_;
   active_->insert(id);
-  world_.at(delay, life_, [active = active_, id, task = std::move(task)] {
+  world_.at(delay, process_, [active = active_, id, task = std::move(task)] {
     if (active->erase(id) > 0) task();
   });
   return id;
 }
 
-void SimulatedDisk::own(LifePointer life) {
-  life_ = std::move(life);
+void SimulatedDisk::own(ProcessPointer process) {
+  process_ = std::move(process);
   busy_ = false;
   requests_.clear();
   syncing_.clear();
@@ -128,18 +128,18 @@
   syncing_.swap(requests_);
   world_.at(Duration(sync_time.count() / 2 +
                      static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(sync_time.count())))),
-            life_, [this] { complete_sync(); });
+            process_, [this] { complete_sync(); });
 }
 
 void SimulatedDisk::complete_sync() {
-  if (stalled) return world_.at(std::chrono::milliseconds(50), life_, [this] { complete_sync(); });
-  const LifePointer life = life_;
+  if (stalled) return world_.at(std::chrono::milliseconds(50), process_, [this] { complete_sync(); });
+  const ProcessPointer process = process_;
   const std::deque<DiskRequest> executed = std::exchange(syncing_, {});
   const std::vector<bool> results = log_files_->execute(executed);
   for (std::size_t index = 0; index < executed.size(); ++index) {
     if (results[index]) pass_fault_point(executed[index], true);
     executed[index].done(results[index]);
-    if (!life->alive) return;
+    if (!process->alive) return;
   }
   busy_ = false;
   if (!requests_.empty()) begin_sync();
--- a/source/simulate/world.hpp
+++ b/source/simulate/world.hpp
@@ -14,13 +14,13 @@
 
 // One run of a simulated process. Events that belong to it are dropped once it has died, and are deferred while it is
 // frozen (suspended).
-struct Life {
+struct ProcessState {
   bool alive = true, suspended = false;
   std::uint64_t processor = 0;  // Real processor time in nanoseconds; it is counted only while World::measuring is set.
   // The events that became due while the process was suspended, each with its position in the event order.
   std::vector<std::pair<std::uint64_t, Task>> deferred;
 };
-using LifePointer = std::shared_ptr<Life>;
+using ProcessPointer = std::shared_ptr<ProcessState>;
 
 // The SplitMix64 generator, so that a run depends on its seed alone.
 class SeededRandom : public RandomSource {
@@ -46,13 +46,13 @@
   explicit World(std::uint64_t seed) : random(seed) {}
   TimePoint now() const { return now_; }
   std::int64_t milliseconds() const { return now_.microseconds / 1000; }
-  // Schedules a task for the process `life` after the given delay; with a null `life` it runs in any case.
-  void at(Duration delay, LifePointer life, Task task);
+  // Schedules a task for the given process after the delay; with a null `process` it runs in any case.
+  void at(Duration delay, ProcessPointer process, Task task);
   void after(Duration delay, Task task) { at(delay, nullptr, std::move(task)); }
   void run_until(TimePoint end);
-  void suspend(const LifePointer& life) { life->suspended = true; }
+  void suspend(const ProcessPointer& process) { process->suspended = true; }
   // Resumes a suspended process: its deferred events run now, in their original order.
-  void resume(const LifePointer& life);
+  void resume(const ProcessPointer& process);
 
   // The network between machines and runners. The delay of one message is random; shortest_delay is its lower bound.
   // `partition` blocks messages in one direction. Each end is the name of a machine, a runner or a zone, or "*" for
@@ -61,8 +61,8 @@
   static Duration shortest_delay(const std::string& from_zone, const std::string& to_zone);
   void partition(const std::string& from, const std::string& to) { partitions_.insert({from, to}); }
   void heal() { partitions_.clear(); }
-  bool is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
-              const std::string& to_zone) const;
+  bool is_blocked(const std::string& from, const std::string& from_zone, const std::string& to,
+                  const std::string& to_zone) const;
   // The messages sent between machines and their size, by message name, counted while `measuring` is set. Then the
   // processor time of each process is counted as well.
   struct Traffic {
@@ -99,7 +99,7 @@
   struct Event {
     TimePoint time;
     std::uint64_t order;
-    LifePointer life;
+    ProcessPointer process;
     std::shared_ptr<Task> task;
     bool operator>(const Event& other) const { return std::tie(time, order) > std::tie(other.time, other.order); }
   };
@@ -114,14 +114,14 @@
 // Timers of one simulated process, on virtual time.
 class SimulatedTimers : public Timers {
  public:
-  SimulatedTimers(World& world, LifePointer life) : world_(world), life_(std::move(life)) {}
+  SimulatedTimers(World& world, ProcessPointer process) : world_(world), process_(std::move(process)) {}
   TimePoint now() const override { return world_.now(); }
   Id after(Duration delay, Task task) override;
   void cancel(Id id) override { active_->erase(id); }
 
  private:
   World& world_;
-  LifePointer life_;
+  ProcessPointer process_;
   std::shared_ptr<std::set<Id>> active_ = std::make_shared<std::set<Id>>();
   Id last_id_ = 0;
 };
@@ -132,7 +132,7 @@
  public:
   SimulatedDisk(World& world, std::string machine_name) : world_(world), machine_name_(std::move(machine_name)) {}
   // Opens the disk for a new process.
-  void own(LifePointer life);
+  void own(ProcessPointer process);
   Result<Bytes> read_all() override;
   void submit(DiskRequest request) override;
   void crash();  // Called when the process has died.
@@ -157,7 +157,7 @@
   void pass_fault_point(const DiskRequest& request, bool done);
   World& world_;
   std::string machine_name_;
-  LifePointer life_;
+  ProcessPointer process_;
   SimulatedVolume volume_;
   std::unique_ptr<LogFiles> log_files_;
   bool busy_ = false;
--- a/tests/circle_manager_test.cpp
+++ b/tests/circle_manager_test.cpp
@@ -18,7 +18,7 @@
     shared_state.members.set(members);
     own_all_slots(1);
   }
-  ~CircleFixture() override { life->alive = false; }
+  ~CircleFixture() override { process->alive = false; }
 
   void own_all_slots(std::uint64_t epoch) {
     Ownership owned;
@@ -77,7 +77,7 @@
     if (envelope.kind != Write::kind) return;
     const auto write = *from_cbor<Write>(envelope.body);
     put(write.key, *write.head);
-    world.at(milliseconds(1), life, [this, envelope, to] {
+    world.at(milliseconds(1), process, [this, envelope, to] {
       messenger.receive(
           Envelope{to, 7, "circle", "store", "reply", envelope.call, true, to_cbor(WriteReply{}), protocol_number});
     });
@@ -89,8 +89,8 @@
   }
 
   simulate::World world{5};
-  simulate::LifePointer life = std::make_shared<simulate::Life>();
-  simulate::SimulatedTimers timers{world, life};
+  simulate::ProcessPointer process = std::make_shared<simulate::ProcessState>();
+  simulate::SimulatedTimers timers{world, process};
   Messenger messenger{*this, timers, Address("10.0.0.1:1"), 7, "circle"};
   SharedState shared_state;
   Members members;
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -21,7 +21,7 @@
 struct Seed {
   CapturingTransport transport;
   World world{1};
-  SimulatedTimers timers{world, std::make_shared<Life>()};
+  SimulatedTimers timers{world, std::make_shared<ProcessState>()};
   SharedState shared_state;
   Messenger messenger{transport, timers, Address("10.0.0.9:1"), 1, "founding"};
   RosterBootstrap founding;
--- a/tests/fuzz/record_file.cpp
+++ b/tests/fuzz/record_file.cpp
@@ -39,7 +39,7 @@
 // Loads the file into a store and, if that succeeds, runs the store for 3 s of virtual time. Returns whether it loaded.
 bool load_and_run(InMemoryDisk& file, StorageNodeId& identity) {
   simulate::World world(1);
-  const auto incarnation = std::make_shared<simulate::Life>();
+  const auto incarnation = std::make_shared<simulate::ProcessState>();
   simulate::SimulatedTimers timers(world, incarnation);
   DiscardingTransport transport;
   SharedState shared_state;
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -70,7 +70,7 @@
 TEST_CASE("a connection over the limit gets a 503 response with Retry-After") {
   boost::asio::io_context context;
   simulate::World world{7};
-  simulate::SimulatedTimers timers{world, std::make_shared<simulate::Life>()};
+  simulate::SimulatedTimers timers{world, std::make_shared<simulate::ProcessState>()};
   NullTransport transport;
   Messenger messenger{transport, timers, Address("10.0.0.1:1"), 1, "routes"};
   SharedState shared_state;
--- a/tests/invalid_messages_test.cpp
+++ b/tests/invalid_messages_test.cpp
@@ -22,7 +22,7 @@
 // One incarnation of a daemon, with a call to the peer in progress.
 struct PendingCall {
   World world{1};
-  SimulatedTimers timers{world, std::make_shared<Life>()};
+  SimulatedTimers timers{world, std::make_shared<ProcessState>()};
   RecordingTransport transport;
   Messenger messenger;
   std::vector<std::string> results;
@@ -69,11 +69,11 @@
 
 TEST_CASE("a message of another protocol version reaches no component, and a call is refused with an error") {
   World world(1);
-  SimulatedTimers timers(world, std::make_shared<Life>());
+  SimulatedTimers timers(world, std::make_shared<ProcessState>());
   RecordingTransport transport;
   SharedState shared_state;
   SimulatedDisk disk(world, "here");
-  disk.own(std::make_shared<Life>());
+  disk.own(std::make_shared<ProcessState>());
   Messenger messenger(transport, timers, self, 1, "store");
   Member member;
   member.address = self;
--- a/tests/log_files_test.cpp
+++ b/tests/log_files_test.cpp
@@ -78,7 +78,7 @@
   LogFiles files_;
   DirectDisk disk{files_};
   World world{3};
-  SimulatedTimers timers{world, std::make_shared<Life>()};
+  SimulatedTimers timers{world, std::make_shared<ProcessState>()};
   RecordLog log{disk, timers, contents(), 0};
   std::set<int> numbers, durable;
 };
@@ -248,7 +248,7 @@
   LogFiles files(volume);
   Writer::DirectDisk disk(files);
   World world(5);
-  SimulatedTimers timers(world, std::make_shared<Life>());
+  SimulatedTimers timers(world, std::make_shared<ProcessState>());
   std::size_t live_bytes = 1u << 20;
   RecordLog::Contents contents;
   contents.header = [] {
@@ -319,7 +319,7 @@
   LogFiles files{volume};
   Writer::DirectDisk disk{files};
   World world{5};
-  SimulatedTimers timers{world, std::make_shared<Life>()};
+  SimulatedTimers timers{world, std::make_shared<ProcessState>()};
   RecordLog log{disk, timers, contents(), limit};
   int appended = 0, durable = 0;
 };
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -381,7 +381,7 @@
   for (const bool unknown_before : {false, true}) {
     RecordingTransport transport;
     simulate::World world(3);
-    simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
+    simulate::SimulatedTimers timers(world, std::make_shared<simulate::ProcessState>());
     const Address owner("10.0.0.2:1");
     Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "control");
     SharedState shared_state;
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -185,7 +185,7 @@
   const Address self{"10.0.0.1:1"};
   ScriptedStore& store;
   simulate::World world{3};
-  simulate::LifePointer incarnation = std::make_shared<simulate::Life>();
+  simulate::ProcessPointer incarnation = std::make_shared<simulate::ProcessState>();
   simulate::SimulatedTimers timers{world, incarnation};
   SharedState shared_state;
   Members members;
@@ -342,7 +342,7 @@
 
   const Address self{"10.0.0.2:1"};
   simulate::World world{3};
-  simulate::LifePointer incarnation = std::make_shared<simulate::Life>();
+  simulate::ProcessPointer incarnation = std::make_shared<simulate::ProcessState>();
   simulate::SimulatedTimers timers{world, incarnation};
   SharedState shared_state;
   ConfigurationView view;
--- a/tests/lots_test.cpp
+++ b/tests/lots_test.cpp
@@ -22,7 +22,7 @@
 TEST_CASE("an owner that no majority confirms neither dismisses a report nor denies that a lot exists") {
   RecordingTransport transport;
   simulate::World world(3);
-  simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
+  simulate::SimulatedTimers timers(world, std::make_shared<simulate::ProcessState>());
   const Address self("10.0.0.1:1"), placer("10.0.0.2:1");
   Messenger messenger(transport, timers, self, 1, "lots");
   SharedState shared_state;
@@ -61,7 +61,7 @@
 TEST_CASE("of two placers that compete for a runner only the one with the higher term gets items") {
   RecordingTransport transport;
   simulate::World world(3);
-  simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
+  simulate::SimulatedTimers timers(world, std::make_shared<simulate::ProcessState>());
   const Address self("10.0.0.1:1"), old_placer("10.0.0.2:1"), new_placer("10.0.0.3:1");
   Messenger messenger(transport, timers, self, 1, "lots");
   SharedState shared_state;
--- a/tests/messenger_test.cpp
+++ b/tests/messenger_test.cpp
@@ -28,7 +28,7 @@
 
 TEST_CASE("a reply to a request of an earlier incarnation completes no request of the new incarnation") {
   simulate::World world(3);
-  auto process_life = std::make_shared<simulate::Life>();
+  auto process_life = std::make_shared<simulate::ProcessState>();
   simulate::SimulatedTimers timers(world, process_life);
   const Address self("10.0.0.1:1"), peer("10.0.0.2:1");
   constexpr int request_count = 300;
--- a/tests/platform_operators.hpp
+++ b/tests/platform_operators.hpp
@@ -34,7 +34,7 @@
             std::shared_ptr<const bool> cancelled = {}) {
     World& world = cluster_.world;
     if (!machine.alive()) return;
-    world.at(network_delay, machine.life(), [this, &machine, request, callback, cancelled] {
+    world.at(network_delay, machine.process(), [this, &machine, request, callback, cancelled] {
       if (machine.control_messenger() == nullptr || (cancelled && *cancelled)) return;
       ControlRequest call{request.method, request.target, request.body, false, request.headers};
       handler_of(machine).handle(std::move(call), [this, callback](ControlReply reply) {
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -79,9 +79,9 @@
   World world(7);
   SimulatedCluster cluster(world, shape_named("small", 1.0));
   SimulatedDisk disk(world, "somewhere");
-  auto life = std::make_shared<Life>();
-  disk.own(life);
-  SimulatedTimers timers(world, life);
+  auto process = std::make_shared<ProcessState>();
+  disk.own(process);
+  SimulatedTimers timers(world, process);
   SharedState shared_state;
   auto open = [&](const std::string& address, StorageNodeId* identity) {
     Member self;
@@ -95,9 +95,9 @@
       world.run_until(world.now() + milliseconds(5));
     }
     const auto* error = error_of(loaded);
-    life->alive = false;
-    life = std::make_shared<Life>();
-    disk.own(life);
+    process->alive = false;
+    process = std::make_shared<ProcessState>();
+    disk.own(process);
     return error == nullptr ? std::string() : error->field;
   };
   StorageNodeId first, second, third;
@@ -122,9 +122,9 @@
   StorageNodeId identity;
   Roster roster;
   for (int run = 0; run < 2; ++run) {
-    auto life = std::make_shared<Life>();
-    disk.own(life);
-    SimulatedTimers timers(world, life);
+    auto process = std::make_shared<ProcessState>();
+    disk.own(process);
+    SimulatedTimers timers(world, process);
     SharedState shared_state;
     Messenger messenger(transport, timers, self, 1, "store");
     Member member;
@@ -165,7 +165,7 @@
     const auto range = from_cbor<ListStampsReply>(transport.last.body);
     REQUIRE(range->stamps.size() == 1);
     CHECK(range->stamps[0].stamp == Stamp{Epoch{7}, Version{1}});
-    life->alive = false;
+    process->alive = false;
   }
 }
 
@@ -185,9 +185,9 @@
   } transport;
   SimulatedDisk disk(world, "place");
   disk.set_capacity(disk_limit);
-  auto life = std::make_shared<Life>();
-  disk.own(life);
-  SimulatedTimers timers(world, life);
+  auto process = std::make_shared<ProcessState>();
+  disk.own(process);
+  SimulatedTimers timers(world, process);
   SharedState shared_state;
   const Address self("10.0.0.1:1"), owner("10.0.0.2:1");
   const StorageNodeId owner_id("theirs");
@@ -265,7 +265,7 @@
   CHECK(record_fetched);
   CHECK_FALSE(store.log().failed());
   CHECK_FALSE(shared_state.stalled.load());
-  life->alive = false;
+  process->alive = false;
 }
 
 TEST_CASE("configuration updates never go back to a lower stamp, whatever their order of arrival") {
@@ -274,7 +274,7 @@
     void send(const Address&, Envelope) override {}
   } transport;
   World world(10);
-  SimulatedTimers timers(world, std::make_shared<Life>());
+  SimulatedTimers timers(world, std::make_shared<ProcessState>());
   Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
   ConfigurationGossip gossip(messenger, shared_state, world.random, false);
@@ -309,7 +309,7 @@
     std::vector<Envelope> sent;
   } transport;
   World world(8);
-  SimulatedTimers timers(world, std::make_shared<Life>());
+  SimulatedTimers timers(world, std::make_shared<ProcessState>());
   Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
   ConfigurationGossip gossip(messenger, shared_state, world.random, false);
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -57,8 +57,8 @@
 // Requests of the lane "pay" may not be repeated, those of the lane "tell" may.
 struct Fixture {
   simulate::World world{7};
-  simulate::LifePointer life = std::make_shared<simulate::Life>();
-  simulate::SimulatedTimers timers{world, life};
+  simulate::ProcessPointer process = std::make_shared<simulate::ProcessState>();
+  simulate::SimulatedTimers timers{world, process};
   DiscardingTransport transport;
   Messenger messenger{transport, timers, Address("10.0.0.1:1"), 1, "routes"};
   SharedState shared_state;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -285,7 +285,7 @@
   std::size_t at_first = 0, halfway = 0;
   for (int index = 1; index <= 6; ++index) {
     simulate::World world{3};
-    simulate::SimulatedTimers timers{world, std::make_shared<simulate::Life>()};
+    simulate::SimulatedTimers timers{world, std::make_shared<simulate::ProcessState>()};
     DiscardingTransport transport;
     Member self = Fixture::self();
     self.address = Address("10.0.0." + std::to_string(index) + ":1");
@@ -337,8 +337,8 @@
 // One of several daemons that know their number, and two runners that accept eight connections each.
 struct DaemonWithConnectionLimit {
   simulate::World world{3};
-  simulate::LifePointer life = std::make_shared<simulate::Life>();
-  simulate::SimulatedTimers timers{world, life};
+  simulate::ProcessPointer process = std::make_shared<simulate::ProcessState>();
+  simulate::SimulatedTimers timers{world, process};
   DiscardingTransport transport;
   Member self;
   Messenger messenger;
@@ -379,7 +379,7 @@
     shared_state.last_gossip_tick = world.now().microseconds;
     router.start();
   }
-  ~DaemonWithConnectionLimit() { life->alive = false; }
+  ~DaemonWithConnectionLimit() { process->alive = false; }
   void put_kind(const Bytes& value) {
     REQUIRE(apply_to_view(view, "kind/model", &value, Stamp{}));
     shared_state.configuration.set(view);
--- a/tests/simulated_connections_test.cpp
+++ b/tests/simulated_connections_test.cpp
@@ -13,9 +13,9 @@
 constexpr Duration close_delay = milliseconds(1);
 
 struct Daemon {
-  explicit Daemon(World& given) : world(given), pool(std::make_unique<SimulatedConnectionPool>(given, life)) {}
+  explicit Daemon(World& given) : world(given), pool(std::make_unique<SimulatedConnectionPool>(given, process)) {}
   World& world;
-  LifePointer life = std::make_shared<Life>();
+  ProcessPointer process = std::make_shared<ProcessState>();
   std::unique_ptr<SimulatedConnectionPool> pool;
 
   // Opens a connection to the runner; null if the runner has reset it.
@@ -118,12 +118,12 @@
   dying.pool->make_idle(dying.connect(runner));
   REQUIRE(dying.connect(runner));
   frozen.pool->make_idle(frozen.connect(runner));
-  dying.life->alive = false;
+  dying.process->alive = false;
   dying.pool.reset();
-  world.suspend(frozen.life);
+  world.suspend(frozen.process);
   frozen.wait(milliseconds(2000));
   CHECK(runner.open() == 1);
-  world.resume(frozen.life);
+  world.resume(frozen.process);
   frozen.wait(close_delay);
   CHECK(runner.open() == 0);
 }
