--- a/source/circle/circle.hpp
+++ b/source/circle/circle.hpp
@@ -60,7 +60,7 @@
   CircleManager(Messenger& messenger, SharedState& shared_state);
   void start();
   const CircleCounts& counts() const { return counts_; }
-  // Receives a log sentence for each decision that is written and for each violated invariant.
+  // Receives a log message for each decision that is written and for each violated invariant.
   std::function<void(StringView message)> log = [](StringView) {
   };
 
--- a/source/routes/router.hpp
+++ b/source/routes/router.hpp
@@ -73,7 +73,7 @@
   // Distributes requests round-robin over all runners and ignores the circle. For benchmarks only.
   void set_round_robin_all(bool enabled) { runner_table_.round_robin_all = enabled; }
   // Called at most once a second with a description of what delayed requests or made attempts fail.
-  std::function<void(StringView sentence)> warn = [](StringView) {
+  std::function<void(StringView message)> warn = [](StringView) {
   };
   // Sets the time by which every request of a known lane gets a response, including requests that arrive later.
   // Responses that have begun by then are not aborted.
--- a/source/sessions/shared_state.hpp
+++ b/source/sessions/shared_state.hpp
@@ -55,9 +55,9 @@
   std::map<Address, Member> all;
   Address session_server;           // The control daemon that holds this daemon's session.
   std::size_t control_daemons = 0;  // How many members keep control state.
-  const Member* storage_node(
-      const StorageNodeId& id) const;  // The member with this identity as a storage node, if any.
-  std::size_t routing_count() const;   // How many members route requests.
+  // The member with this identity as a storage node, if any.
+  const Member* storage_node(const StorageNodeId& id) const;
+  std::size_t routing_count() const;  // How many members route requests.
 };
 
 // The slots that this daemon owns, each with the epoch of its ownership. Keys are hashed onto the slots.
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -61,8 +61,8 @@
         std::make_unique<RosterBootstrap>(messenger("founding"), *shared_state_, *first_start);
   if (has_disk) {
     ReplicatedStore::Report report;
-    report.log = [this](StringView sentence) {
-      cluster_.world.log_event(name + " kept: " + std::string(sentence));
+    report.log = [this](StringView message) {
+      cluster_.world.log_event(name + " kept: " + std::string(message));
     };
     components_->kept = std::make_unique<ReplicatedStore>(messenger("store"), *shared_state_, disk_, world.random, self,
                                                           seeds, std::move(report), first_start);
