--- a/source/scale/scale.cpp
+++ b/source/scale/scale.cpp
@@ -202,7 +202,7 @@
   const std::uint64_t before = resident();
   World world(size.seed);
   SimulatedCluster cluster(world, shape_of(size));
-  cluster.watched = false;
+  cluster.checks_rules = false;
   std::vector<std::unique_ptr<RunnerModel>> runners;
   std::swap(runners, cluster.runners);  // listed below, not declared one by one
   cluster.start();
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -37,7 +37,7 @@
   shared_state_ = std::make_unique<SharedState>();
   timers_ = std::make_unique<SimulatedTimers>(world, process_);
   components_ = std::make_unique<Components>();
-  disk_.own(process_);
+  disk_.attach(process_);
   undisturbed_since = busy_until_ = world.now();
   incarnation_ =
       new_incarnation(std::chrono::hours(1000000) + clock_offset + (world.now() - TimePoint{}), world.random);
@@ -64,9 +64,9 @@
     report.log = [this](StringView message) {
       cluster_.world.log_event(name + " kept: " + std::string(message));
     };
-    components_->kept = std::make_unique<ReplicatedStore>(messenger("store"), *shared_state_, disk_, world.random, self,
-                                                          seeds, std::move(report), first_start);
-    if (auto loaded = components_->kept->load(); error_of(loaded)) {
+    components_->replicated_store = std::make_unique<ReplicatedStore>(
+        messenger("store"), *shared_state_, disk_, world.random, self, seeds, std::move(report), first_start);
+    if (auto loaded = components_->replicated_store->load(); error_of(loaded)) {
       if (disk_.unreadable_starts > 0) {
         --disk_.unreadable_starts;
         return kill(false);
@@ -75,7 +75,7 @@
         cluster_.broken.push_back("a holder could not read its own file: " + error_of(loaded)->message);
       return exit_and_restart();
     }
-    self.holder = components_->kept->identity();
+    self.holder = components_->replicated_store->identity();
     if (self.keeps_control())
       components_->circle = std::make_unique<CircleManager>(messenger("circle"), *shared_state_);
     if (self.keeps_lots()) components_->lots = std::make_unique<Lots>(messenger("lots"), *shared_state_);
@@ -97,7 +97,7 @@
   components_->item_placer->start();
   components_->router->start();
   if (has_disk) {
-    components_->kept->start();
+    components_->replicated_store->start();
     if (components_->circle) components_->circle->start();
     if (components_->lots) components_->lots->start();
   }
@@ -145,7 +145,7 @@
   World& world = cluster_.world;
   const std::string message = envelope.reply ? envelope.sender + " " + envelope.kind : envelope.kind;
   world.pass_fault_point("send " + message, name);
-  Machine* target = cluster_.machine_at(to);
+  Machine* target = cluster_.find_machine(to);
   if (target == nullptr || !target->alive()) return;
   if (target == this) {
     auto shared = std::make_shared<Envelope>(std::move(envelope));
@@ -172,7 +172,7 @@
     });
   };
   world.at(world.delay(zone, target->zone), target->process(), arrive);
-  if (world.repeats > 0 && world.random.uniform() < world.repeats)
+  if (world.duplicate_fraction > 0 && world.random.uniform() < world.duplicate_fraction)
     world.at(
         Duration(static_cast<std::int64_t>(world.random.below(static_cast<std::size_t>(max_duplicate_delay.count())))),
         target->process(), arrive);
@@ -294,7 +294,7 @@
   }
 }
 
-Machine* SimulatedCluster::machine_at(const Address& address) {
+Machine* SimulatedCluster::find_machine(const Address& address) {
   for (auto& machine : machines)
     if (machine->address == address) return machine.get();
   return nullptr;
@@ -306,7 +306,7 @@
   return nullptr;
 }
 
-std::vector<Machine*> SimulatedCluster::holders() {
+std::vector<Machine*> SimulatedCluster::storage_nodes() {
   std::vector<Machine*> list;
   for (auto& machine : machines)
     if (machine->has_disk) list.push_back(machine.get());
@@ -344,7 +344,7 @@
                                                                                    {"zone", runner->zone},
                                                                                    {"slots", runner->slots}}));
   apply_all(documents, 0);
-  if (watched) check_rules_periodically();
+  if (checks_rules) check_rules_periodically();
 }
 
 void SimulatedCluster::apply_all(std::shared_ptr<std::vector<std::pair<std::string, std::string>>> documents,
@@ -428,8 +428,8 @@
   });
 }
 
-void SimulatedCluster::retirement(const std::string& roster, const Address& holder,
-                                  std::function<void(RetirementReply)> then) {
+void SimulatedCluster::query_retirement(const std::string& roster, const Address& holder,
+                                        std::function<void(RetirementReply)> then) {
   StoreClient* client = any_alive().client();
   client->request_owner<Retirement>(roster, Retirement{roster, holder, {}}, world.now() + std::chrono::seconds(2),
                                     false, [then](Result<RetirementReply> result) {
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -52,7 +52,7 @@
   // The messenger of the operator interface, for operator dialects that a test attaches to it; null while the machine
   // is down.
   Messenger* control_messenger() { return components_ ? components_->messengers.at("control").get() : nullptr; }
-  ReplicatedStore* kept() { return components_ ? components_->kept.get() : nullptr; }
+  ReplicatedStore* replicated_store() { return components_ ? components_->replicated_store.get() : nullptr; }
   // Messages and bytes sent; bytes_in counts the bytes received while World::measuring is set.
   std::uint64_t frames = 0, bytes = 0, bytes_in = 0;
   Duration clock_offset{};      // The error of its wall clock.
@@ -65,7 +65,7 @@
     std::unique_ptr<Sessions> sessions;
     std::unique_ptr<ConfigurationGossip> gossip;
     std::unique_ptr<RosterBootstrap> roster_bootstrap;
-    std::unique_ptr<ReplicatedStore> kept;
+    std::unique_ptr<ReplicatedStore> replicated_store;
     std::unique_ptr<CircleManager> circle;
     std::unique_ptr<Lots> lots;
     std::unique_ptr<ItemPlacer> item_placer;
@@ -98,9 +98,9 @@
   std::vector<std::unique_ptr<Machine>> machines;
   std::vector<std::unique_ptr<RunnerModel>> runners;
 
-  Machine* machine_at(const Address& address);
+  Machine* find_machine(const Address& address);
   RunnerModel* find_runner(const Address& address);
-  std::vector<Machine*> holders();  // The storage nodes: all machines with a disk, dead ones included.
+  std::vector<Machine*> storage_nodes();  // All machines with a disk, dead ones included.
   // A random machine that is alive, not suspended and open to clients; the first machine if there is none.
   Machine& any_alive();
   // Adds a machine with an empty disk at a new address; it is not started yet.
@@ -123,7 +123,7 @@
   std::size_t max_client_backlog = 0;  // The most bytes of a response that waited for a client to read them.
   std::size_t longest_message = 0;     // The longest message between machines, in bytes.
   // Requests the progress of a storage node's retirement from any daemon, as an operator does.
-  void retirement(const std::string& roster, const Address& holder, std::function<void(RetirementReply)> then);
+  void query_retirement(const std::string& roster, const Address& holder, std::function<void(RetirementReply)> then);
   // Starts a crashed runner again; it is slower than usual (cold) for the given time.
   void restart_runner(RunnerModel& runner, Duration cold);
   bool ready() const { return ready_; }
@@ -141,7 +141,7 @@
   std::vector<std::string> broken;   // Violations of the rules that the cluster and the scenarios check themselves.
   std::vector<std::string> figures;  // Figures that a scenario prints in addition to its verdict.
   bool total_loss_injected = false;  // Set once the closing fault has taken every machine down.
-  bool watched = true;               // Whether start() also starts check_rules_periodically.
+  bool checks_rules = true;          // Whether start() also starts check_rules_periodically.
   void check_rules_periodically();
 
  private:
--- a/source/simulate/faults.cpp
+++ b/source/simulate/faults.cpp
@@ -29,11 +29,11 @@
 }
 
 Machine& owner_of(SimulatedCluster& cluster, const std::string& key) {
-  for (Machine* node : cluster.holders())
+  for (Machine* node : cluster.storage_nodes())
     if (node->alive() && (node->keeps.empty() || is_lot_key(key) != node->serves()) &&
         node->shared_state().owned.get()->slots.contains(slot_of(key)))
       return *node;
-  return *cluster.holders()[0];
+  return *cluster.storage_nodes()[0];
 }
 
 std::string runner_document(const RunnerModel& runner, bool leaving) {
--- a/source/simulate/history_scenarios.cpp
+++ b/source/simulate/history_scenarios.cpp
@@ -107,13 +107,13 @@
 
 Machine& pick_control_storage_node(SimulatedCluster& cluster) {
   std::vector<Machine*> list;
-  for (Machine* node : cluster.holders())
+  for (Machine* node : cluster.storage_nodes())
     if (node->serves()) list.push_back(node);
   return *list[cluster.world.random.below(list.size())];
 }
 
 Machine* owner_of(SimulatedCluster& cluster, const std::string& key) {
-  for (Machine* node : cluster.holders())
+  for (Machine* node : cluster.storage_nodes())
     if (node->alive() && !node->suspended() && node->serves() &&
         node->shared_state().owned.get()->slots.contains(slot_of(key)))
       return node;
@@ -169,8 +169,8 @@
 // All storage nodes lose power and return together. No node can update the one that was down before it owns keys, so
 // only the epochs promised by the others keep it from serving outdated data.
 void restart_all_storage_nodes(SimulatedCluster& cluster, Machine&) {
-  for (Machine* node : cluster.holders()) node->kill(false);
-  for (Machine* node : cluster.holders())
+  for (Machine* node : cluster.storage_nodes()) node->kill(false);
+  for (Machine* node : cluster.storage_nodes())
     if (!node->alive()) node->start();
 }
 
--- a/source/simulate/loss_scenarios.cpp
+++ b/source/simulate/loss_scenarios.cpp
@@ -31,7 +31,7 @@
     keeps = !two_groups                                                             ? ""
             : tolerance.machines_at_once == 1 && cluster.world.random.below(3) == 0 ? "control"
                                                                                     : "lots";
-    for (Machine* node : cluster.holders()) disk_since[node] = TimePoint{};
+    for (Machine* node : cluster.storage_nodes()) disk_since[node] = TimePoint{};
   }
   SimulatedCluster& cluster;
   const Tolerance tolerance;
@@ -43,7 +43,7 @@
 
 std::vector<Machine*> group_members(const LossRun& run) {
   std::vector<Machine*> list;
-  for (Machine* node : run.cluster.holders())
+  for (Machine* node : run.cluster.storage_nodes())
     if (node->keeps == run.keeps && !run.lost_for_good.contains(node)) list.push_back(node);
   return list;
 }
@@ -62,7 +62,8 @@
   std::vector<Machine*> list = group_members(run);
   std::sort(list.begin(), list.end(), [&](Machine* left, Machine* right) {
     auto rank = [&](Machine* machine) {
-      const bool voting = machine->kept() != nullptr && roster.has_voter(machine->kept()->identity());
+      const bool voting =
+          machine->replicated_store() != nullptr && roster.has_voter(machine->replicated_store()->identity());
       return std::make_pair(run.tolerance.machines_at_once > 1 && !voting, run.disk_since.at(machine));
     };
     return rank(left) < rank(right);
@@ -126,7 +127,7 @@
     auto self = weak.lock();
     if (!self || run->lost_for_good.contains(&machine)) return;
     const std::string roster = run->keeps == "lots" ? "roster/lots" : "roster";
-    run->cluster.retirement(roster, machine.address, [run, &machine](RetirementReply reply) {
+    run->cluster.query_retirement(roster, machine.address, [run, &machine](RetirementReply reply) {
       if (!reply.complete || run->lost_for_good.contains(&machine)) return;
       run->cluster.world.log_event("the retirement of " + machine.name + " is complete");
       remove_permanently(run, machine);
@@ -231,9 +232,10 @@
   const Roster* roster = nullptr;
   std::map<StorageNodeId, ReplicatedStore*> stores;
   for (Machine* node : group_members(run)) {
-    if (!node->alive() || node->kept() == nullptr) continue;
-    stores[node->kept()->identity()] = node->kept();
-    if (roster == nullptr || roster->version < node->kept()->roster().version) roster = &node->kept()->roster();
+    if (!node->alive() || node->replicated_store() == nullptr) continue;
+    stores[node->replicated_store()->identity()] = node->replicated_store();
+    if (roster == nullptr || roster->version < node->replicated_store()->roster().version)
+      roster = &node->replicated_store()->roster();
   }
   if (roster == nullptr || roster->voters.size() < voters_needed(run)) return false;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
--- a/source/simulate/main.cpp
+++ b/source/simulate/main.cpp
@@ -137,8 +137,9 @@
                 << " --shape " << shape << (closing ? " --closing" : "") << " --history\n";
     }
     if (history || !passed) {
-      const std::size_t shown = history ? outcome->story.size() : std::min<std::size_t>(outcome->story.size(), 25);
-      for (std::size_t index = 0; index < shown; ++index) std::cout << "        " << outcome->story[index] << "\n";
+      const std::size_t shown =
+          history ? outcome->event_log.size() : std::min<std::size_t>(outcome->event_log.size(), 25);
+      for (std::size_t index = 0; index < shown; ++index) std::cout << "        " << outcome->event_log[index] << "\n";
       if (history)
         for (const auto& line : outcome->final_state) std::cout << "        " << line << "\n";
       if (history)
--- a/source/simulate/scenario_run.cpp
+++ b/source/simulate/scenario_run.cpp
@@ -13,7 +13,7 @@
   const Outcome quiet = run(*find_scenario("points"), seed, shape);
   SeededRandom random(seed);
   std::vector<InjectedFault> list;
-  for (const auto& [kind, count] : quiet.points)
+  for (const auto& [kind, count] : quiet.fault_point_counts)
     for (const char* action : {"kill", "wipe", "freeze"})
       for (std::uint64_t turn = 0; turn < times; ++turn)
         list.push_back(InjectedFault{kind, action, 1 + random.below(std::max<std::uint64_t>(1, count * 9 / 10))});
@@ -52,10 +52,10 @@
 // Arms the fault point; `reached` becomes true when a machine passes it.
 void arm_fault_point(SimulatedCluster& cluster, const InjectedFault& fault, bool& reached) {
   World& world = cluster.world;
-  world.points.clear();
+  world.fault_point_counts.clear();
   world.armed_kind = fault.kind;
-  world.armed = fault.number;
-  world.strike = [&cluster, &fault, &reached](const std::string& machine_name) {
+  world.armed_number = fault.number;
+  world.inject_fault = [&cluster, &fault, &reached](const std::string& machine_name) {
     reached = true;
     for (auto& machine : cluster.machines) {
       if (machine->name != machine_name || !machine->alive()) continue;
@@ -144,10 +144,10 @@
   outcome.verdict = judge(world.ledger(), limits);
   for (const auto& each : collect_violations(cluster, fault, reached)) outcome.verdict.broken.push_back(each);
   record_final_state(cluster, outcome);
-  outcome.story = world.story();
+  outcome.event_log = world.event_log();
   outcome.virtual_seconds = static_cast<double>(world.now().microseconds) / 1e6;
   outcome.events = world.events;
-  outcome.points = world.points;
+  outcome.fault_point_counts = world.fault_point_counts;
   outcome.figures = cluster.figures;
   return outcome;
 }
--- a/source/simulate/scenarios.cpp
+++ b/source/simulate/scenarios.cpp
@@ -122,7 +122,7 @@
   });
   add("repeat", "one message in four is delivered twice, the second time after later ones",
       [](SimulatedCluster& cluster) {
-        cluster.world.repeats = 0.25;
+        cluster.world.duplicate_fraction = 0.25;
         cluster.operator_change("lane/repeated", R"({"path":"/repeated","kind":"model"})");
         schedule_repeatedly(cluster, seconds(2), 5, [&cluster](int turn) {
           cluster.operator_change("lane/repeated",
@@ -154,10 +154,10 @@
     });
   });
   add("disk-slow", "two disks take 100 ms for a sync", [](SimulatedCluster& cluster) {
-    auto holders = cluster.holders();
-    for (std::size_t index = 0; index < 2; ++index) holders[index]->disk().sync_time = milliseconds(100);
-    cluster.world.after(seconds(12), [holders] {
-      for (auto* each : holders) each->disk().sync_time = std::chrono::microseconds(400);
+    auto storage_nodes = cluster.storage_nodes();
+    for (std::size_t index = 0; index < 2; ++index) storage_nodes[index]->disk().sync_time = milliseconds(100);
+    cluster.world.after(seconds(12), [storage_nodes] {
+      for (auto* each : storage_nodes) each->disk().sync_time = std::chrono::microseconds(400);
     });
   });
   add(
@@ -363,12 +363,12 @@
       [](SimulatedCluster& cluster) {
         cluster.world.after(seconds(4), [&cluster] {
           Machine& machine = pick_machine(cluster, true);
-          const StorageNodeId identity = machine.kept()->identity();
+          const StorageNodeId identity = machine.replicated_store()->identity();
           machine.kill(false);
           machine.disk().unreadable_starts = 2;
           for (int turn = 1; turn <= 3; ++turn) restart_later(cluster, machine, seconds(turn));
           cluster.world.after(seconds(10), [&cluster, &machine, identity] {
-            if (machine.kept() == nullptr || machine.kept()->identity() != identity)
+            if (machine.replicated_store() == nullptr || machine.replicated_store()->identity() != identity)
               cluster.broken.push_back("a holder whose disk could not be read took a new identity: " + machine.name);
           });
         });
@@ -376,9 +376,9 @@
   add(
       "disks-slow", "every disk takes 150 ms for a sync",
       [](SimulatedCluster& cluster) {
-        for (Machine* node : cluster.holders()) node->disk().sync_time = milliseconds(150);
+        for (Machine* node : cluster.storage_nodes()) node->disk().sync_time = milliseconds(150);
         cluster.world.after(seconds(12), [&cluster] {
-          for (Machine* each : cluster.holders()) each->disk().sync_time = std::chrono::microseconds(400);
+          for (Machine* each : cluster.storage_nodes()) each->disk().sync_time = std::chrono::microseconds(400);
         });
       },
       seconds(20), seconds(45));
@@ -442,7 +442,7 @@
             cluster.broken.push_back("the roster has " + std::to_string(voters.size()) +
                                      " seats after a replacement and a retirement");
           for (const auto& voter : voters)
-            if (Machine* machine = cluster.machine_at(voter.address);
+            if (Machine* machine = cluster.find_machine(voter.address);
                 machine == nullptr || !machine->alive() ||
                 cluster.any_alive().shared_state().configuration.get()->holders.contains(voter.address.text))
               cluster.broken.push_back("a machine that is gone or retired has a seat: " + voter.address.text);
--- a/source/simulate/scenarios.hpp
+++ b/source/simulate/scenarios.hpp
@@ -10,12 +10,12 @@
 struct Outcome {
   std::string scenario;
   std::uint64_t seed = 0;
-  Verdict verdict;                 // The violations found by the judge and by the cluster.
-  std::vector<std::string> story;  // The log of events, with the faults and configuration changes of the run.
+  Verdict verdict;                     // The violations found by the judge and by the cluster.
+  std::vector<std::string> event_log;  // The log of events, with the faults and configuration changes of the run.
   double virtual_seconds = 0;
   std::uint64_t events = 0, frames = 0, bytes = 0;
   std::size_t machines = 0;
-  std::map<std::string, std::uint64_t> points;  // The number of fault points passed, by kind.
+  std::map<std::string, std::uint64_t> fault_point_counts;  // The number of fault points passed, by kind.
   std::vector<std::string> final_state;
   std::vector<std::string> figures;  // Figures that the scenario prints in addition to its verdict.
 };
--- a/source/simulate/world.cpp
+++ b/source/simulate/world.cpp
@@ -78,10 +78,10 @@
 }
 
 void World::pass_fault_point(const std::string& kind, const std::string& machine_name) {
-  const std::uint64_t number = ++points[kind];
-  if (kind != armed_kind || number != armed) return;
+  const std::uint64_t number = ++fault_point_counts[kind];
+  if (kind != armed_kind || number != armed_number) return;
   // The fault is injected in an event of its own, because the machine that passed the point is still on the stack.
-  after(Duration{0}, [this, machine_name] { strike(machine_name); });
+  after(Duration{0}, [this, machine_name] { inject_fault(machine_name); });
 }
 
 Timers::Id SimulatedTimers::after(Duration delay, Task task) {
@@ -93,7 +93,7 @@
   return id;
 }
 
-void SimulatedDisk::own(ProcessPointer process) {
+void SimulatedDisk::attach(ProcessPointer process) {
   process_ = std::move(process);
   busy_ = false;
   requests_.clear();
--- a/source/simulate/world.hpp
+++ b/source/simulate/world.hpp
@@ -13,7 +13,7 @@
 namespace mothwalk::simulate {
 
 // One run of a simulated process. Events that belong to it are dropped once it has died, and are deferred while it is
-// frozen (suspended).
+// suspended.
 struct ProcessState {
   bool alive = true, suspended = false;
   std::uint64_t processor = 0;  // Real processor time in nanoseconds; it is counted only while World::measuring is set.
@@ -72,23 +72,23 @@
   bool measuring = false;
   double loss_fraction = 0;  // Fraction of the messages between machines that are lost.
   // Fraction of the messages between machines that are delivered twice, the second time possibly after later messages.
-  double repeats = 0;
+  double duplicate_fraction = 0;
 
   // Appends a line with the current time to the ledger.
   void write_ledger(json::object line);
   const std::vector<json::object>& ledger() const { return ledger_; }
   // Adds a line to the log of events that is printed for a failed run; it has at most 2000 lines.
   void log_event(const std::string& line);
-  const std::vector<std::string>& story() const { return event_log_; }
+  const std::vector<std::string>& event_log() const { return event_log_; }
 
   // Fault points: steps at which a fault can be injected (a message sent or received, a disk append, sync or rewrite,
-  // an attempt at a runner), numbered separately for each kind. When the point `armed` of the kind `armed_kind` is
-  // passed, `strike` is called with the name of the machine that passed it.
+  // an attempt at a runner), numbered separately for each kind. When point number `armed_number` of the
+  // kind `armed_kind` is passed, `inject_fault` is called with the name of the machine that passed it.
   void pass_fault_point(const std::string& kind, const std::string& machine_name);
-  std::map<std::string, std::uint64_t> points;  // The number of points passed, by kind.
+  std::map<std::string, std::uint64_t> fault_point_counts;  // The number of points passed, by kind.
   std::string armed_kind;
-  std::uint64_t armed = 0;
-  std::function<void(const std::string&)> strike;
+  std::uint64_t armed_number = 0;
+  std::function<void(const std::string&)> inject_fault;
 
   SeededRandom random;
   std::uint64_t events = 0;
@@ -131,8 +131,8 @@
 class SimulatedDisk : public Disk {
  public:
   SimulatedDisk(World& world, std::string machine_name) : world_(world), machine_name_(std::move(machine_name)) {}
-  // Opens the disk for a new process.
-  void own(ProcessPointer process);
+  // Attaches the disk to a new process and opens its files.
+  void attach(ProcessPointer process);
   Result<Bytes> read_all() override;
   void submit(DiskRequest request) override;
   void crash();  // Called when the process has died.
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -93,7 +93,7 @@
           [&](int status, const std::string&) { accepted += status == 200; }, true);
     world.run_until(world.now() + seconds(2));
     CHECK(accepted == 20);
-    for (Machine* storage_node : cluster.holders()) {
+    for (Machine* storage_node : cluster.storage_nodes()) {
       CHECK((storage_node->disk().read_all().index() == 0));
       CHECK((std::get<Bytes>(storage_node->disk().read_all()).find("lot/lot-") != Bytes::npos) ==
             !storage_node->serves());
@@ -109,9 +109,9 @@
     // A candidate is killed when it sends or receives a bootstrap message, and comes back with its data folder or
     // without.
     world.armed_kind = number % 2 == 0 ? "take kept reply" : "send founding.word";
-    world.armed = number % 2 == 0 ? 40 + number * 3 : 1 + number / 2 % 3;
+    world.armed_number = number % 2 == 0 ? 40 + number * 3 : 1 + number / 2 % 3;
     bool killed = false, seed_killed = false;
-    world.strike = [&](const std::string& place) {
+    world.inject_fault = [&](const std::string& place) {
       for (auto& machine : cluster.machines)
         if (machine->name == place && machine->alive()) {
           killed = true;
@@ -158,7 +158,7 @@
         const auto configuration = cluster.machines[4]->shared_state().configuration.get();
         return lots ? configuration->lot_roster : configuration->roster;
       };
-      const StorageNodeId before = machine.kept()->identity();
+      const StorageNodeId before = machine.replicated_store()->identity();
       REQUIRE(roster().has_voter(before));
       machine.kill(true);
       const bool on_new_machine = number % 2 == 0;
@@ -166,7 +166,7 @@
       Machine& replacement = on_new_machine ? cluster.add_machine("north", machine.keeps) : machine;
       replacement.start();
       const TimePoint returned = world.now();
-      while ((roster().has_voter(before) || !roster().has_voter(replacement.kept()->identity())) &&
+      while ((roster().has_voter(before) || !roster().has_voter(replacement.replicated_store()->identity())) &&
              world.now() - returned < seconds(10))
         world.run_until(world.now() + milliseconds(50));
       CHECK(world.now() - returned < milliseconds(3500));
--- a/tests/invalid_messages_test.cpp
+++ b/tests/invalid_messages_test.cpp
@@ -73,7 +73,7 @@
   RecordingTransport transport;
   SharedState shared_state;
   SimulatedDisk disk(world, "here");
-  disk.own(std::make_shared<ProcessState>());
+  disk.attach(std::make_shared<ProcessState>());
   Messenger messenger(transport, timers, self, 1, "store");
   Member member;
   member.address = self;
@@ -128,7 +128,7 @@
   cluster.start();
   for (int count = 0; count < 400 && !cluster.ready(); ++count) world.run_until(world.now() + milliseconds(100));
   REQUIRE(cluster.ready());
-  world.repeats = 1;
+  world.duplicate_fraction = 1;
   int acknowledged = 0, accepted_lots = 0;
   // The next change of each lane is sent once the previous one has been acknowledged.
   std::function<void(int)> send_change = [&](int number) {
--- a/tests/platform_operator_history.cpp
+++ b/tests/platform_operator_history.cpp
@@ -211,7 +211,7 @@
   // Picks a machine that owns the slot of the configuration or of zone-0, so that a fault hits calls in progress.
   Machine* random_owner() {
     for (const StringView key : {configuration_key, StringView("zone/zone-0")})
-      for (Machine* storage_node : cluster_.holders())
+      for (Machine* storage_node : cluster_.storage_nodes())
         if (storage_node->alive() && !storage_node->suspended() && world_.random.below(3) > 0 &&
             storage_node->shared_state().owned.get()->slots.contains(slot_of(key)))
           return storage_node;
@@ -275,7 +275,7 @@
 RecordedHistory record_history(const HistoryPlan& plan) {
   World world(plan.seed * 7919 + 3);
   SimulatedCluster cluster(world, shape_named(plan.shape, 1.0));
-  cluster.watched = false;
+  cluster.checks_rules = false;
   OperatorApis apis(cluster);
   RecordedHistory failed;
   failed.converged = false;
--- a/tests/platform_orders_test.cpp
+++ b/tests/platform_orders_test.cpp
@@ -211,10 +211,10 @@
   const OperatorRequest begin{"POST", "/v1/Evacuation.Begin/north"}, finish{"POST", "/v1/Evacuation.Finish/north"};
   Machine& other = *operators.cluster.machines[5];
   // The machine is suspended right after sending its read of the stored state; the operator then tries another daemon.
-  operators.world.points.clear();
+  operators.world.fault_point_counts.clear();
   operators.world.armed_kind = "send store.read";
-  operators.world.armed = 1;
-  operators.world.strike = [&](const std::string& machine_name) {
+  operators.world.armed_number = 1;
+  operators.world.inject_fault = [&](const std::string& machine_name) {
     if (machine_name == suspended_machine.name) suspended_machine.suspend();
   };
   operators.apis.send(suspended_machine, begin, [](OperatorResponse) {});
--- a/tests/replay_test.cpp
+++ b/tests/replay_test.cpp
@@ -13,7 +13,7 @@
   const Outcome first = run(scenario, 3, "small"), second = run(scenario, 3, "small"),
                 other = run(scenario, 4, "small");
   CHECK(first.events == second.events);
-  CHECK(first.story == second.story);
+  CHECK(first.event_log == second.event_log);
   CHECK(first.frames == second.frames);
   CHECK(first.bytes == second.bytes);
   CHECK(first.events != other.events);
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -39,13 +39,15 @@
   std::size_t most = 0;
   for (int count = 0; count < 200; ++count) {
     world.run_until(world.now() + milliseconds(100));
-    for (Machine* storage_node : cluster.holders()) most = std::max(most, storage_node->kept()->removed_lots());
+    for (Machine* storage_node : cluster.storage_nodes())
+      most = std::max(most, storage_node->replicated_store()->removed_lots());
   }
   CHECK(accepted == 260);
   CHECK(most >= 200);
-  for (Machine* storage_node : cluster.holders())
-    if (cluster.any_alive().shared_state().configuration.get()->roster.has_voter(storage_node->kept()->identity()))
-      CHECK(storage_node->kept()->removed_lots() < 100);
+  for (Machine* storage_node : cluster.storage_nodes())
+    if (cluster.any_alive().shared_state().configuration.get()->roster.has_voter(
+            storage_node->replicated_store()->identity()))
+      CHECK(storage_node->replicated_store()->removed_lots() < 100);
   int reused_status = 0;
   cluster.control(
       *cluster.machines[4], "PUT", "/lots/" + ids[0], R"({"lane":"lines","items":["x"]})",
@@ -80,7 +82,7 @@
   SimulatedCluster cluster(world, shape_named("small", 1.0));
   SimulatedDisk disk(world, "somewhere");
   auto process = std::make_shared<ProcessState>();
-  disk.own(process);
+  disk.attach(process);
   SimulatedTimers timers(world, process);
   SharedState shared_state;
   auto open = [&](const std::string& address, StorageNodeId* identity) {
@@ -97,7 +99,7 @@
     const auto* error = error_of(loaded);
     process->alive = false;
     process = std::make_shared<ProcessState>();
-    disk.own(process);
+    disk.attach(process);
     return error == nullptr ? std::string() : error->field;
   };
   StorageNodeId first, second, third;
@@ -123,7 +125,7 @@
   Roster roster;
   for (int run = 0; run < 2; ++run) {
     auto process = std::make_shared<ProcessState>();
-    disk.own(process);
+    disk.attach(process);
     SimulatedTimers timers(world, process);
     SharedState shared_state;
     Messenger messenger(transport, timers, self, 1, "store");
@@ -186,7 +188,7 @@
   SimulatedDisk disk(world, "place");
   disk.set_capacity(disk_limit);
   auto process = std::make_shared<ProcessState>();
-  disk.own(process);
+  disk.attach(process);
   SimulatedTimers timers(world, process);
   SharedState shared_state;
   const Address self("10.0.0.1:1"), owner("10.0.0.2:1");
@@ -348,7 +350,7 @@
   world.run_until(world.now() + seconds(3));
   REQUIRE(accepted == 12);
   auto owner = [&]() -> Machine* {
-    for (Machine* storage_node : cluster.holders())
+    for (Machine* storage_node : cluster.storage_nodes())
       if (storage_node->alive() && !storage_node->serves() &&
           storage_node->shared_state().owned.get()->slots.contains(3))
         return storage_node;
@@ -374,7 +376,8 @@
   first->kill(true);
   first->start();
   world.run_until(world.now() + seconds(6));
-  CHECK(cluster.any_alive().shared_state().configuration.get()->lot_roster.has_voter(first->kept()->identity()));
+  CHECK(cluster.any_alive().shared_state().configuration.get()->lot_roster.has_voter(
+      first->replicated_store()->identity()));
   CHECK(bytes() - at_wipe > 3600000);
   CHECK(bytes() - at_wipe < 9000000);
   CHECK(cluster.longest_message < 1400000);
@@ -402,8 +405,8 @@
   REQUIRE(accepted == 30);
   auto retirement_status = [&] {
     RetirementReply reply;
-    cluster.retirement(std::string(lot_roster_key), leaving.address,
-                       [&](RetirementReply received) { reply = received; });
+    cluster.query_retirement(std::string(lot_roster_key), leaving.address,
+                             [&](RetirementReply received) { reply = received; });
     world.run_until(world.now() + milliseconds(100));
     return reply;
   };
@@ -417,7 +420,7 @@
   const Roster roster = cluster.any_alive().shared_state().configuration.get()->lot_roster;
   CHECK(roster.voters.size() == 3);
   for (const auto& voter : roster.voters) CHECK(voter.address != leaving.address);
-  for (const auto& voter : roster.voters) CHECK(voter.name == cluster.machine_at(voter.address)->name);
+  for (const auto& voter : roster.voters) CHECK(voter.name == cluster.find_machine(voter.address)->name);
   // The retired machine is lost with its disk, and another machine loses its disk at the same time.
   leaving.kill(true);
   cluster.machines[11]->kill(true);
