--- a/source/scale/scale.cpp
+++ b/source/scale/scale.cpp
@@ -21,7 +21,7 @@
 Shape shape_of(const Size& size) {
   Shape shape;
   shape.name = "scale";
-  shape.told_first_start = true;
+  shape.knows_first_start = true;
   for (std::size_t index = 0; index < size.daemons; ++index) {
     MachineShape machine;
     machine.zone = "zone-" + std::to_string(index % size.zones);
--- a/source/simulate/benchmarks.cpp
+++ b/source/simulate/benchmarks.cpp
@@ -94,10 +94,10 @@
     for (const double load : loads) variance += (load - mean) * (load - mean) / static_cast<double>(loads.size());
     Verdict verdict = judge(measured_lines);
     std::vector<std::int64_t> first_chunk_times;
-    for (const auto& [load, list] : verdict.first)
+    for (const auto& [load, list] : verdict.first_piece_times)
       if (load != "notices" && load != "lookups")
         first_chunk_times.insert(first_chunk_times.end(), list.begin(), list.end());
-    auto& lots = verdict.took["lots done"];
+    auto& lots = verdict.durations["lots done"];
     std::printf(
         "%-11s %-50.1f %.3f (%.3f)                %5.1f%%       %5.1f%%           %lld/%lld                  "
         "%lld/%lld\n",
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -51,7 +51,7 @@
   self.name = name;
   const std::vector<Address> seeds = cluster_.seeds;
   std::optional<bool> first_start;
-  if (cluster_.shape.told_first_start) first_start = cluster_.first_start;
+  if (cluster_.shape.knows_first_start) first_start = cluster_.first_start;
   auto messenger = [&](const std::string& slice) -> Messenger& {
     return *(components_->messengers[slice] =
                  std::make_unique<Messenger>(*this, *timers_, address, incarnation_, slice));
@@ -276,7 +276,7 @@
   for (const auto& machine : machines)
     if (machine->serves()) seed_candidates.push_back(machine->address);
   while (seeds.size() < 3 && !seed_candidates.empty()) {
-    const std::size_t index = shape.told_first_start ? world.random.below(seed_candidates.size()) : 0;
+    const std::size_t index = shape.knows_first_start ? world.random.below(seed_candidates.size()) : 0;
     seeds.push_back(seed_candidates[index]);
     seed_candidates.erase(seed_candidates.begin() + static_cast<std::ptrdiff_t>(index));
   }
--- a/source/simulate/loss_scenarios.cpp
+++ b/source/simulate/loss_scenarios.cpp
@@ -27,7 +27,7 @@
 struct LossRun {
   LossRun(SimulatedCluster& simulated_cluster, Tolerance loss_tolerance)
       : cluster(simulated_cluster), tolerance(loss_tolerance) {
-    const bool two_groups = cluster.shape.told_first_start;
+    const bool two_groups = cluster.shape.knows_first_start;
     keeps = !two_groups                                                             ? ""
             : tolerance.machines_at_once == 1 && cluster.world.random.below(3) == 0 ? "control"
                                                                                     : "lots";
--- a/source/simulate/main.cpp
+++ b/source/simulate/main.cpp
@@ -119,20 +119,20 @@
       if (name.ends_with(" answer")) answered += times;
       if (name.ends_with(" broken") || name.ends_with(" unknown")) broken += times;
     }
-    for (const auto& [name, times] : outcome->verdict.took)
+    for (const auto& [name, times] : outcome->verdict.durations)
       for (const auto time : times) durations[name].push_back(time);
     requests["answered"] += answered;
     requests["refused"] += refused;
     requests["broken or unknown"] += broken;
-    const bool passed = outcome->verdict.broken.empty();
+    const bool passed = outcome->verdict.violations.empty();
     failed += !passed;
     std::cout << (passed ? "ok      " : "FAILED  ") << outcome->scenario << " seed " << outcome->seed << ": "
               << answered << " answered, " << refused << " refused, " << broken << " broken or unknown, "
               << outcome->events << " events\n";
     for (const auto& figure : outcome->figures) std::cout << "        " << figure << "\n";
     if (!passed) {
-      for (std::size_t index = 0; index < std::min<std::size_t>(outcome->verdict.broken.size(), 8); ++index)
-        std::cout << "        BROKEN " << outcome->verdict.broken[index] << "\n";
+      for (std::size_t index = 0; index < std::min<std::size_t>(outcome->verdict.violations.size(), 8); ++index)
+        std::cout << "        BROKEN " << outcome->verdict.violations[index] << "\n";
       std::cout << "        replay: simulate --scenario " << outcome->scenario << " --seed " << outcome->seed
                 << " --shape " << shape << (closing ? " --closing" : "") << " --history\n";
     }
@@ -154,9 +154,9 @@
   for (const auto& outcome : outcomes) {
     ScenarioTotals& totals = totals_by_scenario[outcome->scenario.substr(0, outcome->scenario.find(" "))];
     totals.refused += outcome->verdict.refused;
-    totals.counted += outcome->verdict.proper;
-    if (auto lags = outcome->verdict.took.find("result listed after its run's end");
-        lags != outcome->verdict.took.end())
+    totals.counted += outcome->verdict.live_requests;
+    if (auto lags = outcome->verdict.durations.find("result listed after its run's end");
+        lags != outcome->verdict.durations.end())
       for (const auto lag : lags->second) totals.max_result_lag = std::max(totals.max_result_lag, lag);
   }
   for (const auto& [name, totals] : totals_by_scenario)
--- a/source/simulate/scenario_run.cpp
+++ b/source/simulate/scenario_run.cpp
@@ -73,8 +73,8 @@
     cluster.world.log_event("the closing fault");
     total_loss(cluster, seed % 3 == 1, seed % 3 == 2);
   });
-  return Limits{std::max<std::int64_t>(scenario.limits.result_lag, 9000),
-                std::max<std::int64_t>(scenario.limits.refused_per_thousand, 150)};
+  return Limits{std::max<std::int64_t>(scenario.limits.max_result_lag, 9000),
+                std::max<std::int64_t>(scenario.limits.max_refused_per_thousand, 150)};
 }
 
 // The runners that were given more requests at once than 1.5 times their slots while cold or running items, or more
@@ -114,7 +114,7 @@
     outcome.bytes += machine->bytes;
     if (!machine->alive()) continue;
     if (!machine->shared_state().has_lease(cluster.world.now()))
-      outcome.verdict.broken.push_back("not serving at the end: " + machine->name);
+      outcome.verdict.violations.push_back("not serving at the end: " + machine->name);
     outcome.final_state.push_back(
         machine->name + " owns " + std::to_string(machine->shared_state().owned.get()->slots.size()) +
         " slots, roster " + std::to_string(machine->shared_state().configuration.get()->roster.version.value));
@@ -142,7 +142,7 @@
       closing && !scenario.has_closing_fault ? schedule_closing_fault(cluster, scenario, seed) : scenario.limits;
   world.run_until(world.now() + scenario.load + scenario.settle);
   outcome.verdict = judge(world.ledger(), limits);
-  for (const auto& each : collect_violations(cluster, fault, reached)) outcome.verdict.broken.push_back(each);
+  for (const auto& each : collect_violations(cluster, fault, reached)) outcome.verdict.violations.push_back(each);
   record_final_state(cluster, outcome);
   outcome.event_log = world.event_log();
   outcome.virtual_seconds = static_cast<double>(world.now().microseconds) / 1e6;
--- a/source/stand_ins/judge.cpp
+++ b/source/stand_ins/judge.cpp
@@ -14,18 +14,19 @@
   if (lines.empty()) return std::cerr << "judge: the ledgers contain no records\n", 2;
   Verdict verdict = judge(lines);
   for (const auto& [name, occurrences] : verdict.counts) std::cout << name << ": " << occurrences << "\n";
-  for (auto* samples_by_name : {&verdict.took, &verdict.first})
+  for (auto* samples_by_name : {&verdict.durations, &verdict.first_piece_times})
     for (auto& [name, samples] : *samples_by_name) {
       if (samples.empty()) continue;
       std::sort(samples.begin(), samples.end());
-      std::cout << (samples_by_name == &verdict.first ? "first piece, " : "time, ") << name << ": median "
+      std::cout << (samples_by_name == &verdict.first_piece_times ? "first piece, " : "time, ") << name << ": median "
                 << samples[samples.size() / 2] << " ms, 99% " << samples[samples.size() * 99 / 100] << " ms, worst "
                 << samples.back() << " ms\n";
     }
-  const std::size_t printed_count = std::min<std::size_t>(verdict.broken.size(), 40);
-  for (std::size_t index = 0; index < printed_count; ++index) std::cout << "BROKEN " << verdict.broken[index] << "\n";
-  std::cout << (verdict.broken.empty() ? "No never-rule is broken."
-                                       : std::to_string(verdict.broken.size()) + " breaches.")
+  const std::size_t printed_count = std::min<std::size_t>(verdict.violations.size(), 40);
+  for (std::size_t index = 0; index < printed_count; ++index)
+    std::cout << "BROKEN " << verdict.violations[index] << "\n";
+  std::cout << (verdict.violations.empty() ? "No never-rule is broken."
+                                           : std::to_string(verdict.violations.size()) + " breaches.")
             << "\n";
-  return verdict.broken.empty() ? 0 : 1;
+  return verdict.violations.empty() ? 0 : 1;
 }
--- a/source/stand_ins/judge_rules.cpp
+++ b/source/stand_ins/judge_rules.cpp
@@ -48,7 +48,7 @@
       completed_runs[string_field(line, "run")] = &line;
   }
   auto report_violation = [&](const std::string& rule, const std::string& evidence) {
-    verdict.broken.push_back(rule + ": " + evidence);
+    verdict.violations.push_back(rule + ": " + evidence);
   };
   std::set<std::string> acknowledged_lots, finished_lots;
   for (const auto& line : lines) {
@@ -59,10 +59,10 @@
       const std::string load = event == "request" ? string_field(line, "load") : "items";
       ++verdict.counts[load + " " + outcome];
       if (event == "request" && outcome == "answer") {
-        verdict.took[load].push_back(integer_field(line, "took"));
-        verdict.first[load].push_back(integer_field(line, "first"));
+        verdict.durations[load].push_back(integer_field(line, "took"));
+        verdict.first_piece_times[load].push_back(integer_field(line, "first"));
       }
-      if (event == "result") verdict.took["items"].push_back(integer_field(line, "after"));
+      if (event == "result") verdict.durations["items"].push_back(integer_field(line, "after"));
       if (!fault.empty()) report_violation("wrong answer", id + ": " + fault);
       const std::size_t run_count = runs_by_request.contains(id) ? runs_by_request[id].size() : 0;
       if (!boolean_field(line, "repeatable") && run_count > 1)
@@ -72,14 +72,14 @@
         report_violation("refusal of work that runs", id + " was " + outcome + " and ran");
       if (event == "result" && outcome == "answer" && completed_runs.contains(run)) {
         const std::int64_t lag = integer_field(line, "at") - integer_field(*completed_runs.at(run), "at");
-        verdict.took["result listed after its run's end"].push_back(lag);
-        if (lag > limits.result_lag)
+        verdict.durations["result listed after its run's end"].push_back(lag);
+        if (lag > limits.max_result_lag)
           report_violation(
               "a new result was not readable in time",
-              id + " after " + std::to_string(lag) + " ms, over " + std::to_string(limits.result_lag) + " ms");
+              id + " after " + std::to_string(lag) + " ms, over " + std::to_string(limits.max_result_lag) + " ms");
       }
       if (event == "request") {
-        ++verdict.proper;
+        ++verdict.live_requests;
         verdict.refused += outcome == "refused";
       }
       if (outcome == "answer" && (event == "result" || integer_field(line, "status") == 200) &&
@@ -91,11 +91,11 @@
     } else if (event == "lot") {
       acknowledged_lots.insert(id);
       ++verdict.counts["lots acknowledged"];
-      verdict.took["lots acknowledged"].push_back(integer_field(line, "took"));
+      verdict.durations["lots acknowledged"].push_back(integer_field(line, "took"));
     } else if (event == "lot_done") {
       finished_lots.insert(id);
       ++verdict.counts["lots done"];
-      verdict.took["lots done"].push_back(integer_field(line, "took"));
+      verdict.durations["lots done"].push_back(integer_field(line, "took"));
     } else if (event == "lot_vanished") {
       report_violation("lot vanished", id);
     } else if (event == "result_moved") {
@@ -128,19 +128,19 @@
           report_violation(event == "leaving" ? "work to a leaving runner" : "work to an evacuated zone",
                            run_id + " after " + std::to_string(delay) + " ms");
       }
-      verdict.took[event + ": last work sent after"].push_back(longest_delay);
+      verdict.durations[event + ": last work sent after"].push_back(longest_delay);
     } else if (event == "observed") {
-      verdict.took[string_field(line, "name")].push_back(integer_field(line, "took"));
+      verdict.durations[string_field(line, "name")].push_back(integer_field(line, "took"));
       const auto* limit = line.if_contains("limit");
       if (limit != nullptr && integer_field(line, "took") > limit->to_number<std::int64_t>())
         report_violation(string_field(line, "name"), std::to_string(integer_field(line, "took")) + " ms, over " +
                                                          std::to_string(limit->to_number<std::int64_t>()) + " ms");
     }
   }
-  if (verdict.refused * 1000 > verdict.proper * limits.refused_per_thousand)
-    report_violation("proper requests turned away", std::to_string(verdict.refused) + " of " +
-                                                        std::to_string(verdict.proper) + ", over " +
-                                                        std::to_string(limits.refused_per_thousand) + " in a thousand");
+  if (verdict.refused * 1000 > verdict.live_requests * limits.max_refused_per_thousand)
+    report_violation("proper requests turned away",
+                     std::to_string(verdict.refused) + " of " + std::to_string(verdict.live_requests) + ", over " +
+                         std::to_string(limits.max_refused_per_thousand) + " in a thousand");
   for (const auto& id : acknowledged_lots)
     if (!finished_lots.contains(id)) ++verdict.counts["lots not read to the end"];
   for (const auto& [run, line] : all_runs) (void)line, ++verdict.counts["runs"];
--- a/source/stand_ins/platform.cpp
+++ b/source/stand_ins/platform.cpp
@@ -132,8 +132,8 @@
   check(fleet.wait_for_exit(load_generator) == 0, "the callers streamed and handed in lots");
   const auto lines = all_ledgers(fleet);
   Verdict verdict = judge(lines);
-  for (const auto& each : verdict.broken) check(false, each);
-  check(verdict.broken.empty(), "the judge finds nothing");
+  for (const auto& each : verdict.violations) check(false, each);
+  check(verdict.violations.empty(), "the judge finds nothing");
   check(verdict.counts["audits answer"] == 3, "three streams were answered whole");
   check(verdict.counts["lots done"] == 3 && verdict.counts["items answer"] == 30,
         "three lots of ten items were worked off and read");
--- a/source/stand_ins/shapes.cpp
+++ b/source/stand_ins/shapes.cpp
@@ -119,7 +119,7 @@
 Shape platform_shape() {
   Shape shape = small_shape();
   shape.name = "platform";
-  shape.told_first_start = true;
+  shape.knows_first_start = true;
   shape.machines.clear();
   const std::vector<std::string> zones{"north", "south", "west", "east"};
   shape.runners.clear();
@@ -138,7 +138,7 @@
 Shape shape_by_roles(std::string name, std::size_t lot_machines) {
   Shape shape = small_shape();
   shape.name = std::move(name);
-  shape.told_first_start = true;
+  shape.knows_first_start = true;
   shape.machines.clear();
   const std::vector<std::string> zones{"north", "south", "west"};
   add_machines(shape, 3, zones, 3);
@@ -170,7 +170,7 @@
   constexpr std::uint32_t model_slots = 16, notice_slots = 6, notice_connections = 24;
   Shape shape;
   shape.name = "grown";
-  shape.told_first_start = true;
+  shape.knows_first_start = true;
   const std::vector<std::string> zones{"north", "south", "west", "east", "core"};
   add_machines(shape, 5, zones, 5);
   for (auto& machine : shape.machines) machine.keeps = "control";
--- a/source/stand_ins/shapes.hpp
+++ b/source/stand_ins/shapes.hpp
@@ -64,7 +64,7 @@
   std::string name;
   // Whether each daemon is started with the information if this is the first start of the fleet. Any three machines may
   // then be the seeds.
-  bool told_first_start = false;
+  bool knows_first_start = false;
   std::vector<MachineShape> machines;
   std::vector<RunnerShape> runners;
   // Keys of the form "type/name" with their specs, in the order in which they are applied.
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -12,7 +12,7 @@
   return records;
 }
 bool reports(const Verdict& verdict, const std::string& rule) {
-  for (const auto& violation : verdict.broken)
+  for (const auto& violation : verdict.violations)
     if (violation.starts_with(rule)) return true;
   return false;
 }
@@ -27,13 +27,13 @@
           parse_records(
               {run, complete_end,
                R"({"what":"request","id":"a","load":"l","repeatable":false,"status":200,"outcome":"answer","fault":"","run":"r1"})"}))
-          .broken.empty());
+          .violations.empty());
   CHECK(
       judge(
           parse_records(
               {run, second_run, complete_end,
                R"({"what":"request","id":"a","load":"l","repeatable":true,"status":200,"outcome":"answer","fault":"","run":"r1"})"}))
-          .broken.empty());
+          .violations.empty());
 }
 
 TEST_CASE("the judge reports each rule that a history violates") {
