--- a/source/configuration/resources.cpp
+++ b/source/configuration/resources.cpp
@@ -15,8 +15,8 @@
 
 using OptionalError = std::optional<Error>;
 
-OptionalError check_positive(StringView field, Duration span) {
-  if (span < std::chrono::milliseconds(1))
+OptionalError check_positive(StringView field, Duration duration) {
+  if (duration < std::chrono::milliseconds(1))
     return invalid_field(std::string(field), "the duration is shorter than 1 millisecond",
                          "give 1 millisecond or more");
   return std::nullopt;
@@ -49,13 +49,13 @@
   if (lane.retries > 10) return invalid_field("retries", "there are more than 10 retries", "give 0 to 10");
   if (lane.waiting_room > 100000)
     return invalid_field("waiting_room", "the queue length is above 100000 requests", "give 0 to 100000");
-  for (auto [field, span] : {std::pair<StringView, Duration>{"waiting", lane.waiting},
-                             {"connecting", lane.connecting},
-                             {"first_piece", lane.first_piece},
-                             {"between_pieces", lane.between_pieces},
-                             {"taking", lane.taking},
-                             {"whole", lane.whole}})
-    if (auto error = check_positive(field, span)) return error;
+  for (auto [field, duration] : {std::pair<StringView, Duration>{"waiting", lane.waiting},
+                                 {"connecting", lane.connecting},
+                                 {"first_piece", lane.first_piece},
+                                 {"between_pieces", lane.between_pieces},
+                                 {"taking", lane.taking},
+                                 {"whole", lane.whole}})
+    if (auto error = check_positive(field, duration)) return error;
   if (lane.whole < lane.first_piece)
     return invalid_field("whole", "the time limit for the complete request is shorter than the one for the first chunk",
                          "set whole to at least first_piece");
@@ -144,7 +144,7 @@
   for (const Roster* roster : {&view.roster, &view.lot_roster}) {
     if (is_voter) break;
     other_voters = 0;
-    for (const auto& voter : roster->seats) {
+    for (const auto& voter : roster->voters) {
       auto mark_of_other = view.holders.find(voter.address.text);
       if (voter.address.text == name)
         is_voter = true;
@@ -188,8 +188,8 @@
 
 }  // namespace
 
-bool Roster::seated(const StorageNodeId& holder) const {
-  for (const auto& voter : seats)
+bool Roster::has_voter(const StorageNodeId& holder) const {
+  for (const auto& voter : voters)
     if (voter.holder == holder) return true;
   return false;
 }
@@ -198,7 +198,7 @@
   return std::find(members.begin(), members.end(), RunnerId(runner)) != members.end();
 }
 
-bool Circle::bears(const std::string& runner, std::uint64_t generation) const {
+bool Circle::takes_full_share(const std::string& runner, std::uint64_t generation) const {
   auto known = generations.find(runner);
   return std::find(warm.begin(), warm.end(), RunnerId(runner)) != warm.end() &&
          (known == generations.end() ? 0 : known->second) == generation;
@@ -277,8 +277,8 @@
 }
 }  // namespace
 
-bool put_in_view(ConfigurationView& view, StringView key, const Bytes* value, Stamp stamp,
-                 const ConfigurationFormat* format) {
+bool apply_to_view(ConfigurationView& view, StringView key, const Bytes* value, Stamp stamp,
+                   const ConfigurationFormat* format) {
   if (key == "roster" || key == lot_roster_key) {
     if (value == nullptr) return false;
     auto read = from_json<Roster>(*value);
--- a/source/gossip/configuration_gossip.cpp
+++ b/source/gossip/configuration_gossip.cpp
@@ -30,11 +30,12 @@
           if (auto found = items_.find(key); found != items_.end()) reply.items.push_back(found->second);
         send_reply(std::move(reply));
       });
-  messenger_.on_request<Taken>([this](const Address&, Taken query, ReplyCallback<AppliedStampReply> send_reply) {
-    auto found = items_.find(query.key);
-    if (found == items_.end()) return send_reply(AppliedStampReply{});
-    send_reply(AppliedStampReply{true, found->second.removed, found->second.stamp});
-  });
+  messenger_.on_request<AppliedStamp>(
+      [this](const Address&, AppliedStamp query, ReplyCallback<AppliedStampReply> send_reply) {
+        auto found = items_.find(query.key);
+        if (found == items_.end()) return send_reply(AppliedStampReply{});
+        send_reply(AppliedStampReply{true, found->second.removed, found->second.stamp});
+      });
 }
 
 void ConfigurationGossip::start() {
@@ -49,7 +50,7 @@
     if (found != items_.end() && item.stamp <= found->second.stamp) continue;
     if (found != items_.end()) view_.digest ^= item_hash(found->second);
     view_.digest ^= item_hash(item);
-    put_in_view(view_, item.key, item.removed ? nullptr : &item.value, item.stamp, format_);
+    apply_to_view(view_, item.key, item.removed ? nullptr : &item.value, item.stamp, format_);
     applied.push_back(item);
     items_[item.key] = std::move(item);
   }
@@ -74,10 +75,10 @@
 // The lease that this daemon can grant: how long its latest comparisons with a majority of the voters stay valid. Zero
 // where that is over, or where this is not a control daemon.
 Duration ConfigurationGossip::majority_lease() const {
-  if (!control_ || view_.roster.seats.empty()) return Duration{};
+  if (!control_ || view_.roster.voters.empty()) return Duration{};
   const TimePoint now = messenger_.timers().now();
   std::vector<Duration> remaining;
-  for (const auto& voter : view_.roster.seats) {
+  for (const auto& voter : view_.roster.voters) {
     if (voter.address == messenger_.self())
       remaining.push_back(lease_duration);
     else if (auto found = compared_.find(voter.address); found != compared_.end())
@@ -122,12 +123,12 @@
 // suspended; the time without a lease is then counted from now.
 void ConfigurationGossip::track_lease_search() {
   const TimePoint now = messenger_.timers().now();
-  const bool suspended = now.microseconds - shared_state_.gossip_tick.load() > 3 * round_interval.count();
+  const bool suspended = now.microseconds - shared_state_.last_gossip_tick.load() > 3 * round_interval.count();
   if (shared_state_.has_lease(now))
-    shared_state_.lease_sought_since = -1;
-  else if (shared_state_.lease_sought_since.load() < 0 || suspended)
-    shared_state_.lease_sought_since = now.microseconds;
-  shared_state_.gossip_tick = now.microseconds;
+    shared_state_.lease_renewal_since = -1;
+  else if (shared_state_.lease_renewal_since.load() < 0 || suspended)
+    shared_state_.lease_renewal_since = now.microseconds;
+  shared_state_.last_gossip_tick = now.microseconds;
 }
 
 // Compares the copies of both daemons, sends the peer what is newer here, and fetches what is newer there.
--- a/source/interfaces/interfaces.hpp
+++ b/source/interfaces/interfaces.hpp
@@ -17,7 +17,7 @@
   virtual ~Timers() = default;
   virtual TimePoint now() const = 0;
   // Runs the task once after the given time.
-  virtual Id after(Duration span, Task task) = 0;
+  virtual Id after(Duration delay, Task task) = 0;
   virtual void cancel(Id id) = 0;
 };
 
@@ -79,10 +79,10 @@
 };
 
 enum class AttemptOutcome {
-  whole,     // The response is complete.
+  complete,  // The response is complete.
   not_sent,  // No byte of the request can have reached the runner.
   broken,    // The connection ended, or the response was invalid, before the response was complete.
-  late       // A time limit passed after the connection was established.
+  timed_out  // A time limit passed after the connection was established.
 };
 
 constexpr StringView name_of(AttemptOutcome outcome) {
@@ -97,7 +97,7 @@
   virtual void on_head(int status, const std::vector<Header>& headers) = 0;
   virtual void on_chunk(StringView chunk) = 0;
   // Called after all data received so far has been passed on, while more is expected.
-  virtual void on_pause() {}
+  virtual void on_read_complete() {}
   // The last call.
   virtual void on_end(AttemptOutcome outcome) = 0;
 };
@@ -116,7 +116,7 @@
   virtual std::size_t connections(const Address& /*to*/, const std::string& /*runner*/) const { return 0; }
   // Pauses or resumes reading from the runner. Data that is already waiting is passed to the observer later, never from
   // within this call.
-  virtual void hold(Id id, bool paused) = 0;
+  virtual void set_paused(Id id, bool paused) = 0;
 };
 
 }  // namespace mothwalk
--- a/source/lots/item_placer.cpp
+++ b/source/lots/item_placer.cpp
@@ -48,15 +48,16 @@
   PlainResponseReader(ItemPlacer& placer, std::uint64_t attempt, std::vector<std::uint32_t> refusals)
       : placer_(placer), attempt_(attempt), refusals_(std::move(refusals)) {}
   void on_head(int status, const std::vector<Header>&) override { status_ = status; }
-  void on_chunk(StringView piece) override {
-    if (body_.size() + piece.size() <= max_body_bytes)
-      body_.append(piece);
+  void on_chunk(StringView chunk) override {
+    if (body_.size() + chunk.size() <= max_body_bytes)
+      body_.append(chunk);
     else
       too_large_ = true;
   }
   void on_end(AttemptOutcome outcome) override {
     if (outcome == AttemptOutcome::not_sent) return placer_.on_attempt_ended(attempt_, {"not_run", 0, {}, {}});
-    if (outcome != AttemptOutcome::whole || too_large_) return placer_.on_attempt_ended(attempt_, {"lost", 0, {}, {}});
+    if (outcome != AttemptOutcome::complete || too_large_)
+      return placer_.on_attempt_ended(attempt_, {"lost", 0, {}, {}});
     if (std::find(refusals_.begin(), refusals_.end(), static_cast<std::uint32_t>(status_)) != refusals_.end())
       return placer_.on_attempt_ended(attempt_, {"not_run", status_, {}, {}});
     placer_.on_attempt_ended(attempt_, {"answer", status_, std::move(body_), {}});
@@ -85,8 +86,8 @@
   }
   void on_head(int status, const std::vector<Header>& headers) override {
     status_ = status;
-    response_ = placer_.dialect_.read_answer(status, headers, request_info_);
-    if (response_.foreign) return placer_.abort_attempt(attempt_, "lost", 0);
+    response_ = placer_.dialect_.read_response(status, headers, request_info_);
+    if (response_.mismatched) return placer_.abort_attempt(attempt_, "lost", 0);
     const bool resumed = part_.last_event > 0;
     // Text of different model weights must not be joined. A runner with other weights refuses to resume with status
     // 421.
@@ -95,10 +96,10 @@
     if (damaged_) return placer_.abort_attempt(attempt_, "damaged", status);
     if (is_success()) part_.version = response_.version;
   }
-  void on_chunk(StringView piece) override {
+  void on_chunk(StringView chunk) override {
     if (!is_success() || damaged_) return;
     Bytes events;
-    const bool consistent = reader_.take(piece, events);
+    const bool consistent = reader_.take(chunk, events);
     append_data(events);
     if (reader_.last()) part_.last_event = *reader_.last();
     if (reader_.version()) part_.version = *reader_.version();
@@ -107,9 +108,9 @@
   }
   void on_end(AttemptOutcome outcome) override {
     if (outcome == AttemptOutcome::not_sent) return finish("not_run");
-    if (status_ == 0 || response_.foreign) return finish("lost");
+    if (status_ == 0 || response_.mismatched) return finish("lost");
     if (response_.not_run || response_.other_instance) return finish("not_run");
-    if (outcome != AttemptOutcome::whole) return finish("lost");
+    if (outcome != AttemptOutcome::complete) return finish("lost");
     if (status_ == 500) return finish("failed");
     if (status_ == 422) return finish("impossible");
     if (!is_success() || !reader_.rest().empty()) return finish("lost");
@@ -119,7 +120,7 @@
 
  private:
   bool is_success() const {
-    return status_ >= 200 && status_ < 300 && !response_.foreign && !response_.not_run && !response_.other_instance;
+    return status_ >= 200 && status_ < 300 && !response_.mismatched && !response_.not_run && !response_.other_instance;
   }
   void finish(const char* outcome) { placer_.on_attempt_ended(attempt_, {outcome, status_, {}, part()}); }
   void append_data(StringView events) {
@@ -159,24 +160,25 @@
     schedule_fetch();
   });
   messenger_.on_message<PlacerTotals>([this](const Address&, PlacerTotals message) {
-    shared_state_.take_totals(message.totals.runner_kind,
-                              KindTotals{messenger_.timers().now(), std::move(message.totals.runners)});
+    shared_state_.set_totals(message.totals.runner_kind,
+                             KindTotals{messenger_.timers().now(), std::move(message.totals.runners)});
   });
-  messenger_.on_request<AskHeld>([this](const Address&, AskHeld request, ReplyCallback<CheckHeldItemsReply> respond) {
-    if (request.incarnation != messenger_.incarnation())
-      return respond(Error{ErrorKind::stale, "incarnation", "the placer has restarted", "treat its items as lost"});
-    CheckHeldItemsReply reply;
-    for (auto& item : request.items)
-      if (!held_items_.contains(item)) reply.missing.push_back(std::move(item));
-    respond(std::move(reply));
-  });
-  messenger_.on_request<AskSlot>([this](const Address&, AskSlot request, ReplyCallback<HeldItems> respond) {
+  messenger_.on_request<CheckHeldItems>(
+      [this](const Address&, CheckHeldItems request, ReplyCallback<CheckHeldItemsReply> respond) {
+        if (request.incarnation != messenger_.incarnation())
+          return respond(Error{ErrorKind::stale, "incarnation", "the placer has restarted", "treat its items as lost"});
+        CheckHeldItemsReply reply;
+        for (auto& item : request.items)
+          if (!held_items_.contains(item)) reply.missing.push_back(std::move(item));
+        respond(std::move(reply));
+      });
+  messenger_.on_request<ListHeldItems>([this](const Address&, ListHeldItems request, ReplyCallback<HeldItems> respond) {
     HeldItems reply{messenger_.incarnation(), {}};
     for (const auto& name : held_items_)
       if (slot_of("lot/" + name.lot) == request.slot) reply.items.push_back(name);
     respond(std::move(reply));
   });
-  messenger_.on_message<StopLot>([this](const Address&, StopLot stop) {
+  messenger_.on_message<StopLotItems>([this](const Address&, StopLotItems stop) {
     std::vector<std::uint64_t> stopped;
     for (const auto& [number, attempt] : attempts_)
       if (attempt.item.lot == stop.lot) stopped.push_back(number);
@@ -193,7 +195,7 @@
   if (runner.leaving || configuration.evacuated(runner.zone)) return false;
   auto circle = configuration.circles.find(runner.kind.text);
   if (circle == configuration.circles.end()) return false;
-  if (circle->second.spec.has(runner_name) && !circle->second.spec.shares(runner_name)) return false;
+  if (circle->second.spec.has(runner_name) && !circle->second.spec.takes_lot_items(runner_name)) return false;
   const auto& unreachable = circle->second.spec.dark;
   return std::find(unreachable.begin(), unreachable.end(), RunnerId(runner_name)) == unreachable.end();
 }
@@ -222,11 +224,11 @@
   if (totals == load->end() || !state.appointed_since) return 0;
   auto found = totals->second.runners.find(runner_name);
   // Older totals do not include the prompts that were sent to the runner shortly before the appointment.
-  if (totals->second.heard < *state.appointed_since) return 0;
+  if (totals->second.received < *state.appointed_since) return 0;
   const std::uint32_t used_slots =
       state.open_items + (found == totals->second.runners.end() ? 0 : found->second.open + found->second.foreign);
   std::uint32_t free_slots = used_slots < runner.slots ? runner.slots - used_slots : 0;
-  if (totals->second.heard < *state.appointed_since + totals_lag)
+  if (totals->second.received < *state.appointed_since + totals_lag)
     free_slots = free_slots > runner.slots / 2 ? free_slots - runner.slots / 2 : 0;
   if (shared) {
     const std::uint32_t item_limit = items_beside_prompts(kind, runner);
@@ -358,7 +360,7 @@
     if (state.fetching || now < state.next_fetch_at) continue;
     const auto term = appointed_term(*configuration, runner_name, runner);
     if (!term) continue;
-    const bool shared = configuration->circles.at(runner.kind.text).spec.shares(runner_name);
+    const bool shared = configuration->circles.at(runner.kind.text).spec.takes_lot_items(runner_name);
     const std::uint32_t free_slots = free_capacity(runner_name, runner, kind->second.spec, shared, state);
     // A runner that failed recently gets a single item as a probe.
     if (free_slots > 0 && (state.failures == 0 || state.open_items == 0))
@@ -403,7 +405,7 @@
                               appointed_term(*configuration, runner_name, found->second.spec) &&
                               shared_state_.has_lease(now) && now - began < start_lease;
         for (const auto& item : reply->items) {
-          held_items_.insert(ItemName{item.lot, item.item, item.attempt});
+          held_items_.insert(ItemAttemptId{item.lot, item.item, item.attempt});
           if (may_send)
             send_item(runner_name, item);
           else
@@ -495,7 +497,7 @@
 // Reports are sent until the owner acknowledges them. Until then the item counts as held by this placer.
 
 void ItemPlacer::queue_report(ItemReport report) {
-  const ItemName name{report.lot, report.item, report.attempt};
+  const ItemAttemptId name{report.lot, report.item, report.attempt};
   reports_[name] = Report{std::move(report), false};
   schedule_reports();
 }
@@ -513,8 +515,8 @@
   const auto configuration = shared_state_.configuration.get();
   const auto members = shared_state_.members.get();
   struct ReportBatch {
-    FinishItems message;
-    std::vector<ItemName> names;
+    ReportItems message;
+    std::vector<ItemAttemptId> names;
     std::size_t bytes = 0;
   };
   std::map<Address, ReportBatch> batches;
--- a/source/replication/replicated_store.cpp
+++ b/source/replication/replicated_store.cpp
@@ -15,7 +15,7 @@
 
 // Only control state is distributed by gossip, lots are not.
 bool is_gossiped(StringView key) {
-  return !lot_key(key);
+  return !is_lot_key(key);
 }
 }  // namespace
 
@@ -45,7 +45,7 @@
   messenger_.on_request<Install>([this](const Address&, Install message, ReplyCallback<StoreReply> respond) {
     on_install(std::move(message), std::move(respond));
   });
-  messenger_.on_request<Copies>([this](const Address&, Copies message, ReplyCallback<StoreReply> respond) {
+  messenger_.on_request<CopyRecords>([this](const Address&, CopyRecords message, ReplyCallback<StoreReply> respond) {
     on_copies(std::move(message), std::move(respond));
   });
   messenger_.on_request<Confirm>([this](const Address&, Confirm message, ReplyCallback<StoreReply> respond) {
@@ -61,7 +61,7 @@
   });
   messenger_.on_request<Digests>(
       [this](const Address&, Digests, ReplyCallback<DigestsReply> respond) { on_digests(std::move(respond)); });
-  messenger_.on_request<Range>([this](const Address&, Range message, ReplyCallback<RangeReply> respond) {
+  messenger_.on_request<ListStamps>([this](const Address&, ListStamps message, ReplyCallback<ListStampsReply> respond) {
     on_range(std::move(message), std::move(respond));
   });
   messenger_.on_request<FetchRecords>(
@@ -88,7 +88,7 @@
   auto durable = [this] {
     durable_ = true;
   };
-  if (loaded_file_.sound_bytes == 0)
+  if (loaded_file_.valid_bytes == 0)
     append_to_log(DiskEntry{.what = "identity", .holder = identity_, .address = self_.address}, durable);
   else
     log_.when_synced(durable);
@@ -104,9 +104,9 @@
       known_roster.version > roster_.version)
     adopt_roster(known_roster);
   const bool stalled = shared_state_.stalled.load();
-  if (roster_.seats.empty()) {
+  if (roster_.voters.empty()) {
     if (!stores_only_lots() && durable_) first_start_ ? bootstrap_from_candidates() : bootstrap_from_seeds();
-  } else if (!stalled && now - started_ > milliseconds(1000) && roster_.seated(identity_)) {
+  } else if (!stalled && now - started_ > milliseconds(1000) && roster_.has_voter(identity_)) {
     const auto members = shared_state_.members.get();
     for (std::uint32_t slot = 0; slot < slot_count; ++slot) {
       SlotOwnership& ownership = slot_ownership_[slot];
@@ -138,9 +138,9 @@
   durable_ = durable_ || log_.compactions() > 0;
   const bool stalled = log_.stalled();
   if (stalled && !shared_state_.stalled.load())
-    report_.note(log_.failed() ? "Writing to the disk failed; this storage node gives up the slots that it owns."
-                               : "The disk does not respond; this storage node gives up the slots that it owns.");
-  if (!stalled && shared_state_.stalled.load()) report_.note("The disk responds again.");
+    report_.log(log_.failed() ? "Writing to the disk failed; this storage node gives up the slots that it owns."
+                              : "The disk does not respond; this storage node gives up the slots that it owns.");
+  if (!stalled && shared_state_.stalled.load()) report_.log("The disk responds again.");
   shared_state_.stalled = stalled;
   if (!stalled) return;
   for (std::uint32_t slot = 0; slot < slot_count; ++slot)
@@ -165,8 +165,8 @@
 void ReplicatedStore::publish_voters() {
   if (stores_only_lots()) return;
   std::vector<Address> voters;
-  for (const auto& voter : roster_.seats) voters.push_back(voter.address);
-  shared_state_.control_seats.set(std::move(voters));
+  for (const auto& voter : roster_.voters) voters.push_back(voter.address);
+  shared_state_.known_control_voters.set(std::move(voters));
 }
 
 void ReplicatedStore::push_to_gossip(const std::vector<const Record*>& records) {
--- a/source/replication/store_file.cpp
+++ b/source/replication/store_file.cpp
@@ -17,13 +17,13 @@
 Result<Success> ReplicatedStore::load() {
   auto read = log_.load();
   if (auto error = error_of(read)) return *error;
-  loaded_file_ = std::get<ReadFile>(std::move(read));
+  loaded_file_ = std::get<RecordFileContents>(std::move(read));
   if (loaded_file_.damaged)
-    report_.note(
+    report_.log(
         "The record file is damaged; this data folder gets a new identity and copies its records from other storage "
         "nodes.");
   else if (loaded_file_.torn)
-    report_.note("The record file ended in an incomplete entry, which was truncated.");
+    report_.log("The record file ended in an incomplete entry, which was truncated.");
   for (auto& entry : std::exchange(loaded_file_.entries, {}))
     if (auto replayed = replay(std::move(entry)); error_of(replayed)) return replayed;
   if (identity_.empty()) assign_new_identity();
@@ -80,7 +80,7 @@
   RecordLog::Contents contents;
   contents.header = [this] {
     std::vector<DiskEntry> entries{DiskEntry{.what = "identity", .holder = identity_, .address = self_.address}};
-    if (!roster_.seats.empty()) entries.push_back(DiskEntry{.what = "roster", .roster = roster_});
+    if (!roster_.voters.empty()) entries.push_back(DiskEntry{.what = "roster", .roster = roster_});
     return entries;
   };
   contents.slot_entries = [this](std::uint32_t slot) {
--- a/source/replication/writes.cpp
+++ b/source/replication/writes.cpp
@@ -11,7 +11,7 @@
 
 // Only control state is distributed by gossip, lots are not.
 bool is_gossiped(StringView key) {
-  return !lot_key(key);
+  return !is_lot_key(key);
 }
 }  // namespace
 
@@ -127,20 +127,20 @@
   auto acks = std::make_shared<Acknowledgements>();
   acks->old_roster = roster_;
   acks->new_roster = new_roster;
-  std::vector<Voter> voters = roster_.seats;
-  for (const auto& voter : new_roster.seats)
-    if (!roster_.seated(voter.holder)) voters.push_back(voter);
+  std::vector<Voter> voters = roster_.voters;
+  for (const auto& voter : new_roster.voters)
+    if (!roster_.has_voter(voter.holder)) voters.push_back(voter);
   acks->outstanding = voters.size();
   const Epoch epoch = slot_ownership_[slot].epoch;
   auto on_voter_done = [this, acks, slot, epoch, done](const Voter& voter, bool succeeded) {
     --acks->outstanding;
     if (acks->finished) return;
     if (succeeded) {
-      acks->old_acks += acks->old_roster.seated(voter.holder);
-      acks->new_acks += acks->new_roster.seated(voter.holder);
+      acks->old_acks += acks->old_roster.has_voter(voter.holder);
+      acks->new_acks += acks->new_roster.has_voter(voter.holder);
     }
     const bool enough = acks->old_acks >= acks->old_roster.majority() &&
-                        (acks->new_roster.seats.empty() || acks->new_acks >= acks->new_roster.majority());
+                        (acks->new_roster.voters.empty() || acks->new_acks >= acks->new_roster.majority());
     if (!enough && acks->outstanding > 0) return;
     acks->finished = true;
     done(enough);
--- a/source/routes/runner_table.cpp
+++ b/source/routes/runner_table.cpp
@@ -56,14 +56,14 @@
       runner_state.items = total.items;
       runner_state.load_updated = messenger_.timers().now();
     }
-    shared_state_.take_totals(totals.runner_kind, KindTotals{messenger_.timers().now(), std::move(totals.runners)});
+    shared_state_.set_totals(totals.runner_kind, KindTotals{messenger_.timers().now(), std::move(totals.runners)});
   });
 }
 
 // Returns the number of daemons that share the runners. A daemon that has just started or has lost contact with the
 // others knows too few of them and must not use their shares, so the number in the circles counts as well.
 std::size_t RunnerTable::count_daemons(const ConfigurationView& configuration) const {
-  std::size_t count = std::max<std::size_t>(1, shared_state_.members.get()->routing());
+  std::size_t count = std::max<std::size_t>(1, shared_state_.members.get()->routing_count());
   for (const auto& [kind, circle] : configuration.circles) count = std::max<std::size_t>(count, circle.spec.daemons);
   return count;
 }
@@ -154,7 +154,7 @@
   const Kind& kind = context.kind;
   const Circle* circle = context.circle;
   const TimePoint now = context.now;
-  const bool warm = circle == nullptr || circle->bears(name, runner.generation);
+  const bool warm = circle == nullptr || circle->takes_full_share(name, runner.generation);
   RunnerState& runner_state = states_[name];
   if (now < runner_state.not_before) return runner_state.failures > 0 ? BlockReason::failing : BlockReason::resting;
   if (runner_state.failures > 0 && runner_state.open > 0) return BlockReason::failing;
@@ -221,7 +221,7 @@
   const auto members = shared_state_.members.get();
   const auto* subset = context.shares.users_of(name);
   std::size_t count = 0, rank = 0;
-  const auto order = duty_order(*members, "warm/" + name, runner.zone);
+  const auto order = singleton_role_order(*members, "warm/" + name, runner.zone);
   for (const Member* member : order) {
     if (!member->routes() && member->address != messenger_.self()) continue;
     if (subset != nullptr && !subset->contains(member->address.text)) continue;
@@ -430,7 +430,7 @@
     const bool usable = !runner->second.spec.leaving && !configuration.evacuated(runner->second.spec.zone) &&
                         runner_state.failures == 0 && now >= runner_state.not_before && now >= runner_state.cold_until;
     const bool warm =
-        circle->second.spec.bears(member.text, runner->second.spec.generation) && !runner_state.recovering;
+        circle->second.spec.takes_full_share(member.text, runner->second.spec.generation) && !runner_state.recovering;
     const bool ramp_over = runner_state.ramp_since && now - *runner_state.ramp_since >= ramp + slack;
     if (usable && (warm || ramp_over) && runner_state.in_progress() == 0 &&
         now - runner_state.load_updated < max_load_age)
--- a/source/scale/scale.cpp
+++ b/source/scale/scale.cpp
@@ -21,7 +21,7 @@
 Shape shape_of(const Size& size) {
   Shape shape;
   shape.name = "scale";
-  shape.told_first_start = true;
+  shape.knows_first_start = true;
   for (std::size_t index = 0; index < size.daemons; ++index) {
     MachineShape machine;
     machine.zone = "zone-" + std::to_string(index % size.zones);
@@ -68,8 +68,8 @@
   const PushUpdates spread{
       {ConfigurationUpdate{std::string(listing_key), Stamp{Epoch{1}, Version{1}}, false, to_cbor(listing)}}};
   Machine& machine = *cluster.machines.back();
-  machine.take(Envelope{Address("poller:1"), 1, "news", "listing", std::string(PushUpdates::kind), 0, false,
-                        to_cbor(spread), protocol_number});
+  machine.receive(Envelope{Address("poller:1"), 1, "news", "listing", std::string(PushUpdates::kind), 0, false,
+                           to_cbor(spread), protocol_number});
 }
 
 template <class Condition>
@@ -93,7 +93,7 @@
   world.traffic.clear();
   std::map<Machine*, std::uint64_t> sent;
   for (auto& machine : cluster.machines) {
-    machine->life()->processor = machine->bytes_in = 0;
+    machine->process()->processor = machine->bytes_in = 0;
     sent[machine.get()] = machine->bytes;
   }
   world.measuring = true;
@@ -108,7 +108,7 @@
                  : machine->keeps == "lots"  ? figures.storage
                                              : figures.edge;
     daemons[&role] += 1;
-    role.processor += static_cast<double>(machine->life()->processor) / 1e3 / figures.seconds;
+    role.processor += static_cast<double>(machine->process()->processor) / 1e3 / figures.seconds;
     role.bytes_out += static_cast<double>(machine->bytes - sent[machine.get()]) / figures.seconds;
     role.bytes_in += static_cast<double>(machine->bytes_in) / figures.seconds;
   }
@@ -156,17 +156,17 @@
                              [&](const auto& machine) { return machine->alive() && machine->keeps == keeps; });
   if (victim == cluster.machines.rend()) return -1;
   (*victim)->kill(false);
-  const auto span = wait(cluster.world, seconds(20), [&] {
+  const auto elapsed = wait(cluster.world, seconds(20), [&] {
     return std::all_of(cluster.machines.begin(), cluster.machines.end(), [&](const auto& machine) {
       return !machine->alive() || !machine->shared_state().members.get()->all.contains((*victim)->address);
     });
   });
-  if (!span)
+  if (!elapsed)
     figures.broken.push_back("a lost daemon (" + (keeps.empty() ? std::string("edge") : keeps) +
                              ") was still a member somewhere after 20 s");
   (*victim)->start();
   cluster.world.run_until(cluster.world.now() + seconds(3));
-  return span.value_or(-1);
+  return elapsed.value_or(-1);
 }
 
 }  // namespace
@@ -202,7 +202,7 @@
   const std::uint64_t before = resident();
   World world(size.seed);
   SimulatedCluster cluster(world, shape_of(size));
-  cluster.watched = false;
+  cluster.checks_rules = false;
   std::vector<std::unique_ptr<RunnerModel>> runners;
   std::swap(runners, cluster.runners);  // listed below, not declared one by one
   cluster.start();
@@ -226,11 +226,11 @@
   }
   std::uint64_t answered = 0;
   for (auto& machine : cluster.machines)
-    if (machine->entries() != nullptr) answered += machine->entries()->counts().answered;
+    if (machine->router() != nullptr) answered += machine->router()->counts().answered;
   measure(cluster, figures);
   for (auto& machine : cluster.machines)
-    if (machine->entries() != nullptr)
-      figures.requests_answered += static_cast<double>(machine->entries()->counts().answered);
+    if (machine->router() != nullptr)
+      figures.requests_answered += static_cast<double>(machine->router()->counts().answered);
   figures.requests_answered = (figures.requests_answered - static_cast<double>(answered)) / figures.seconds;
   figures.memory = static_cast<double>(resident() - std::min(before, resident())) / static_cast<double>(size.daemons);
   world.run_until(world.now() + seconds(3));
--- a/source/simulate/benchmarks.cpp
+++ b/source/simulate/benchmarks.cpp
@@ -37,15 +37,15 @@
     World world(seed);
     SimulatedCluster cluster(world, shape_named(shape_name, 1.0));
     if (!start_until_ready(cluster)) return;
-    for (auto& machine : cluster.machines) machine->entries()->even_over_all(round_robin);
+    for (auto& machine : cluster.machines) machine->router()->set_round_robin_all(round_robin);
     cluster.load(seconds(120));
     // The controller of the circle's size settles before the measurement begins.
     world.run_until(world.now() + seconds(40));
     const std::size_t ledger_from = world.ledger().size();
     std::uint64_t same_zone = 0, other_zones = 0, prefix_hits = 0, prefix_misses = 0;
     for (auto& machine : cluster.machines) {
-      same_zone -= machine->entries()->counts().own_zone;
-      other_zones -= machine->entries()->counts().other_zone;
+      same_zone -= machine->router()->counts().own_zone;
+      other_zones -= machine->router()->counts().other_zone;
     }
     for (auto& runner : cluster.runners) {
       prefix_hits -= runner->prefix_hits;
@@ -56,8 +56,8 @@
     const std::int64_t measured_to = world.milliseconds();
     world.run_until(world.now() + seconds(15));
     for (auto& machine : cluster.machines) {
-      same_zone += machine->entries()->counts().own_zone;
-      other_zones += machine->entries()->counts().other_zone;
+      same_zone += machine->router()->counts().own_zone;
+      other_zones += machine->router()->counts().other_zone;
     }
     for (auto& runner : cluster.runners) {
       prefix_hits += runner->prefix_hits;
@@ -94,10 +94,10 @@
     for (const double load : loads) variance += (load - mean) * (load - mean) / static_cast<double>(loads.size());
     Verdict verdict = judge(measured_lines);
     std::vector<std::int64_t> first_chunk_times;
-    for (const auto& [load, list] : verdict.first)
+    for (const auto& [load, list] : verdict.first_piece_times)
       if (load != "notices" && load != "lookups")
         first_chunk_times.insert(first_chunk_times.end(), list.begin(), list.end());
-    auto& lots = verdict.took["lots done"];
+    auto& lots = verdict.durations["lots done"];
     std::printf(
         "%-11s %-50.1f %.3f (%.3f)                %5.1f%%       %5.1f%%           %lld/%lld                  "
         "%lld/%lld\n",
--- a/source/simulate/cluster.cpp
+++ b/source/simulate/cluster.cpp
@@ -33,11 +33,11 @@
 
 void Machine::start() {
   World& world = cluster_.world;
-  life_ = std::make_shared<Life>();
+  process_ = std::make_shared<ProcessState>();
   shared_state_ = std::make_unique<SharedState>();
-  timers_ = std::make_unique<SimulatedTimers>(world, life_);
+  timers_ = std::make_unique<SimulatedTimers>(world, process_);
   components_ = std::make_unique<Components>();
-  disk_.own(life_);
+  disk_.attach(process_);
   undisturbed_since = busy_until_ = world.now();
   incarnation_ =
       new_incarnation(std::chrono::hours(1000000) + clock_offset + (world.now() - TimePoint{}), world.random);
@@ -51,21 +51,22 @@
   self.name = name;
   const std::vector<Address> seeds = cluster_.seeds;
   std::optional<bool> first_start;
-  if (cluster_.shape.told_first_start) first_start = cluster_.first_start;
+  if (cluster_.shape.knows_first_start) first_start = cluster_.first_start;
   auto messenger = [&](const std::string& slice) -> Messenger& {
     return *(components_->messengers[slice] =
                  std::make_unique<Messenger>(*this, *timers_, address, incarnation_, slice));
   };
   if (first_start)
-    components_->founding = std::make_unique<Founding>(messenger("founding"), *shared_state_, *first_start);
+    components_->roster_bootstrap =
+        std::make_unique<RosterBootstrap>(messenger("founding"), *shared_state_, *first_start);
   if (has_disk) {
     ReplicatedStore::Report report;
-    report.note = [this](StringView sentence) {
-      cluster_.world.log_event(name + " kept: " + std::string(sentence));
+    report.log = [this](StringView message) {
+      cluster_.world.log_event(name + " kept: " + std::string(message));
     };
-    components_->kept = std::make_unique<ReplicatedStore>(messenger("store"), *shared_state_, disk_, world.random, self,
-                                                          seeds, std::move(report), first_start);
-    if (auto loaded = components_->kept->load(); error_of(loaded)) {
+    components_->replicated_store = std::make_unique<ReplicatedStore>(
+        messenger("store"), *shared_state_, disk_, world.random, self, seeds, std::move(report), first_start);
+    if (auto loaded = components_->replicated_store->load(); error_of(loaded)) {
       if (disk_.unreadable_starts > 0) {
         --disk_.unreadable_starts;
         return kill(false);
@@ -74,28 +75,29 @@
         cluster_.broken.push_back("a holder could not read its own file: " + error_of(loaded)->message);
       return exit_and_restart();
     }
-    self.holder = components_->kept->identity();
-    if (self.keeps_control()) components_->circle = std::make_unique<CircleDuty>(messenger("circle"), *shared_state_);
+    self.holder = components_->replicated_store->identity();
+    if (self.keeps_control())
+      components_->circle = std::make_unique<CircleManager>(messenger("circle"), *shared_state_);
     if (self.keeps_lots()) components_->lots = std::make_unique<Lots>(messenger("lots"), *shared_state_);
   }
-  components_->live_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, life_);
-  components_->lot_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, life_);
+  components_->live_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, process_);
+  components_->lot_runner_client = std::make_unique<SimulatedRunnerClient>(cluster_, name, zone, process_);
   components_->sessions = std::make_unique<Sessions>(messenger("sessions"), *shared_state_, self, seeds);
   components_->gossip =
       std::make_unique<ConfigurationGossip>(messenger("news"), *shared_state_, world.random, self.keeps_control());
   components_->item_placer =
       std::make_unique<ItemPlacer>(messenger("placing"), *shared_state_, *components_->lot_runner_client, world.random);
-  components_->entries = std::make_unique<Router>(messenger("routes"), *shared_state_, *components_->live_runner_client,
-                                                  world.random, self);
+  components_->router = std::make_unique<Router>(messenger("routes"), *shared_state_, *components_->live_runner_client,
+                                                 world.random, self);
   components_->control = std::make_unique<Control>(messenger("control"), *shared_state_, world.random, self,
                                                    [] { return json::value(nullptr); });
   components_->client = std::make_unique<StoreClient>(*components_->messengers["control"], *shared_state_);
   components_->sessions->start();
   components_->gossip->start();
   components_->item_placer->start();
-  components_->entries->start();
+  components_->router->start();
   if (has_disk) {
-    components_->kept->start();
+    components_->replicated_store->start();
     if (components_->circle) components_->circle->start();
     if (components_->lots) components_->lots->start();
   }
@@ -104,7 +106,7 @@
 void Machine::kill(bool wipe) {
   if (!alive()) return;
   cluster_.world.log_event(name + (wipe ? " is killed and wiped" : " is killed"));
-  life_->alive = false;
+  process_->alive = false;
   disk_.crash();
   if (wipe) disk_.wipe();
   // One of the components may be on the stack, so they are destroyed between events.
@@ -122,17 +124,17 @@
   cluster_.on_machine_killed(*this);
 }
 
-void Machine::freeze() {
-  if (!alive() || life_->frozen) return;
+void Machine::suspend() {
+  if (!alive() || process_->suspended) return;
   cluster_.world.log_event(name + " freezes");
-  cluster_.world.freeze(life_);
+  cluster_.world.suspend(process_);
 }
 
-void Machine::wake() {
-  if (!frozen()) return;
+void Machine::resume() {
+  if (!suspended()) return;
   cluster_.world.log_event(name + " wakes");
   undisturbed_since = cluster_.world.now();
-  cluster_.world.wake(life_);
+  cluster_.world.resume(process_);
 }
 
 void Machine::mark_reconnected() {
@@ -143,12 +145,12 @@
   World& world = cluster_.world;
   const std::string message = envelope.reply ? envelope.sender + " " + envelope.kind : envelope.kind;
   world.pass_fault_point("send " + message, name);
-  Machine* target = cluster_.machine_at(to);
+  Machine* target = cluster_.find_machine(to);
   if (target == nullptr || !target->alive()) return;
   if (target == this) {
     auto shared = std::make_shared<Envelope>(std::move(envelope));
-    return world.at(Duration{20}, life_, [this, shared] {
-      handle_in_order(shared->body.size(), [this, shared] { take(std::move(*shared)); });
+    return world.at(Duration{20}, process_, [this, shared] {
+      handle_in_order(shared->body.size(), [this, shared] { receive(std::move(*shared)); });
     });
   }
   // The message is encoded and decoded as on a real connection, so that the simulation covers both.
@@ -162,18 +164,18 @@
     traffic.bytes += encoded->size() + 4;
     target->bytes_in += encoded->size() + 4;
   }
-  if (world.is_cut(name, zone, target->name, target->zone)) return;
+  if (world.is_blocked(name, zone, target->name, target->zone)) return;
   if (world.loss_fraction > 0 && world.random.uniform() < world.loss_fraction) return;
   auto arrive = [target, encoded] {
     target->handle_in_order(encoded->size(), [target, encoded] {
-      if (auto decoded = from_cbor<Envelope>(*encoded)) target->take(std::move(*decoded));
+      if (auto decoded = from_cbor<Envelope>(*encoded)) target->receive(std::move(*decoded));
     });
   };
-  world.at(world.delay(zone, target->zone), target->life(), arrive);
-  if (world.repeats > 0 && world.random.uniform() < world.repeats)
+  world.at(world.delay(zone, target->zone), target->process(), arrive);
+  if (world.duplicate_fraction > 0 && world.random.uniform() < world.duplicate_fraction)
     world.at(
         Duration(static_cast<std::int64_t>(world.random.below(static_cast<std::size_t>(max_duplicate_delay.count())))),
-        target->life(), arrive);
+        target->process(), arrive);
 }
 
 // A process that can't open its data folder exits. The platform starts it again after a pause, whether or not the disk
@@ -192,15 +194,15 @@
   World& world = cluster_.world;
   const Duration time(time_per_kilobyte_.count() * static_cast<std::int64_t>(size) / 1024);
   busy_until_ = std::max(busy_until_, world.now()) + time;
-  world.at(busy_until_ - world.now(), life_, std::move(task));
+  world.at(busy_until_ - world.now(), process_, std::move(task));
 }
 
-void Machine::take(Envelope envelope) {
+void Machine::receive(Envelope envelope) {
   if (!components_) return;
   cluster_.world.pass_fault_point("take " + (envelope.reply ? envelope.sender + " " + envelope.kind : envelope.kind),
                                   name);
   auto messenger = components_->messengers.find(envelope.slice);
-  if (messenger != components_->messengers.end()) messenger->second->take(std::move(envelope));
+  if (messenger != components_->messengers.end()) messenger->second->receive(std::move(envelope));
 }
 
 // ---- the cluster
@@ -217,9 +219,9 @@
     status_ = status;
     headers_ = headers;
   }
-  void piece(StringView piece) override {
+  void chunk(StringView chunk) override {
     if (text_.empty()) first_chunk_at_ = cluster_.world.milliseconds();
-    text_.append(piece);
+    text_.append(chunk);
     ++unread_chunks_;
     cluster_.max_client_backlog = std::max(cluster_.max_client_backlog, backlog());
   }
@@ -229,7 +231,7 @@
     if (!stuck) read_chunk();
   }
   void end() override { finish(true); }
-  void break_off() override { finish(false); }
+  void abort() override { finish(false); }
   std::size_t backlog() const override { return slow_ ? unread_chunks_ * (32u << 10) : 0; }
   void on_machine_killed() { finish(false); }
 
@@ -274,7 +276,7 @@
   for (const auto& machine : machines)
     if (machine->serves()) seed_candidates.push_back(machine->address);
   while (seeds.size() < 3 && !seed_candidates.empty()) {
-    const std::size_t index = shape.told_first_start ? world.random.below(seed_candidates.size()) : 0;
+    const std::size_t index = shape.knows_first_start ? world.random.below(seed_candidates.size()) : 0;
     seeds.push_back(seed_candidates[index]);
     seed_candidates.erase(seed_candidates.begin() + static_cast<std::ptrdiff_t>(index));
   }
@@ -292,7 +294,7 @@
   }
 }
 
-Machine* SimulatedCluster::machine_at(const Address& address) {
+Machine* SimulatedCluster::find_machine(const Address& address) {
   for (auto& machine : machines)
     if (machine->address == address) return machine.get();
   return nullptr;
@@ -304,7 +306,7 @@
   return nullptr;
 }
 
-std::vector<Machine*> SimulatedCluster::holders() {
+std::vector<Machine*> SimulatedCluster::storage_nodes() {
   std::vector<Machine*> list;
   for (auto& machine : machines)
     if (machine->has_disk) list.push_back(machine.get());
@@ -326,7 +328,7 @@
 Machine& SimulatedCluster::any_alive() {
   std::vector<Machine*> list;
   for (auto& machine : machines)
-    if (machine->alive() && !machine->frozen() && machine->serves()) list.push_back(machine.get());
+    if (machine->alive() && !machine->suspended() && machine->serves()) list.push_back(machine.get());
   return list.empty() ? *machines[0] : *list[world.random.below(list.size())];
 }
 
@@ -342,7 +344,7 @@
                                                                                    {"zone", runner->zone},
                                                                                    {"slots", runner->slots}}));
   apply_all(documents, 0);
-  if (watched) check_rules_periodically();
+  if (checks_rules) check_rules_periodically();
 }
 
 void SimulatedCluster::apply_all(std::shared_ptr<std::vector<std::pair<std::string, std::string>>> documents,
@@ -370,11 +372,11 @@
     world.after(Duration(500), [then] { then(0, ""); });
     return;
   }
-  calls_[number] = Call{&machine, machine.life(), [finish] {
+  calls_[number] = Call{&machine, machine.process(), [finish] {
                           finish(0, "");
                         }};
   world.after(std::chrono::seconds(8), [finish] { finish(0, ""); });
-  world.at(Duration(300), machine.life(), [&machine, method, target, body, client_interface, finish] {
+  world.at(Duration(300), machine.process(), [&machine, method, target, body, client_interface, finish] {
     if (machine.control() == nullptr) return;
     machine.control()->handle(ControlRequest{method, target, body, client_interface},
                               [finish](ControlReply reply) { finish(reply.status, json::serialize(reply.body)); });
@@ -384,7 +386,7 @@
 void SimulatedCluster::on_machine_killed(Machine& machine) {
   std::vector<std::function<void()>> callbacks;
   for (const auto& [number, call] : calls_)
-    if (call.machine == &machine && !call.life->alive) callbacks.push_back(call.on_machine_killed);
+    if (call.machine == &machine && !call.process->alive) callbacks.push_back(call.on_machine_killed);
   for (auto& each : callbacks) each();
 }
 
@@ -426,13 +428,13 @@
   });
 }
 
-void SimulatedCluster::retirement(const std::string& roster, const Address& holder,
-                                  std::function<void(RetirementReply)> then) {
+void SimulatedCluster::query_retirement(const std::string& roster, const Address& holder,
+                                        std::function<void(RetirementReply)> then) {
   StoreClient* client = any_alive().client();
-  client->ask_owner<Retirement>(roster, Retirement{roster, holder, {}}, world.now() + std::chrono::seconds(2), false,
-                                [then](Result<RetirementReply> result) {
-                                  if (auto* reply = std::get_if<RetirementReply>(&result)) then(*reply);
-                                });
+  client->request_owner<Retirement>(roster, Retirement{roster, holder, {}}, world.now() + std::chrono::seconds(2),
+                                    false, [then](Result<RetirementReply> result) {
+                                      if (auto* reply = std::get_if<RetirementReply>(&result)) then(*reply);
+                                    });
 }
 
 void SimulatedCluster::crash_runner(RunnerModel& runner) {
@@ -459,7 +461,7 @@
 void SimulatedCluster::check_rules_periodically() {
   const TimePoint now = world.now();
   for (auto& machine : machines) {
-    if (!machine->alive() || machine->frozen()) continue;
+    if (!machine->alive() || machine->suspended()) continue;
     const auto configuration = machine->shared_state().configuration.get();
     auto& highest_stamps = highest_stamps_[machine->name + "/" + std::to_string(machine->incarnation())];
     auto check_stamp = [&](const std::string& key, Stamp stamp) {
@@ -523,8 +525,8 @@
 
 void SimulatedCluster::send_stream(const StreamLoad& load, std::uint64_t number) {
   const std::string id = load.name + "-" + std::to_string(number) + "-" + std::to_string(world.milliseconds());
-  // A machine that is down refuses the connection, and the client connects to another one. A frozen machine accepts the
-  // connection.
+  // A machine that is down refuses the connection, and the client connects to another one. A suspended machine accepts
+  // the connection.
   Machine* machine = machines[world.random.below(machines.size())].get();
   if (!machine->alive() || !machine->serves()) machine = &any_alive();
   if (!machine->alive()) return;
@@ -592,11 +594,11 @@
       });
   if (slow_client_interval > 0 && number % slow_client_interval == 0)
     client->read_slowly(number % (5 * slow_client_interval) == 0);
-  calls_[call] = Call{machine, machine->life(), [client] {
+  calls_[call] = Call{machine, machine->process(), [client] {
                         client->on_machine_killed();
                       }};
-  world.at(Duration(300), machine->life(), [machine, request, client] {
-    if (machine->entries() != nullptr) machine->entries()->arrive(request, client);
+  world.at(Duration(300), machine->process(), [machine, request, client] {
+    if (machine->router() != nullptr) machine->router()->submit(request, client);
   });
 }
 
--- a/source/simulate/cluster.hpp
+++ b/source/simulate/cluster.hpp
@@ -24,17 +24,17 @@
           Duration time_per_kilobyte = {});
   void send(const Address& to, Envelope envelope) override;
   // Delivers a message to the component that it is addressed to.
-  void take(Envelope envelope);
+  void receive(Envelope envelope);
   void start();
   void kill(bool wipe);
-  bool alive() const { return life_ && life_->alive; }
-  bool frozen() const { return alive() && life_->frozen; }
-  void freeze();
+  bool alive() const { return process_ && process_->alive; }
+  bool suspended() const { return alive() && process_->suspended; }
+  void suspend();
   std::uint64_t incarnation() const { return incarnation_; }
   // A machine that is cut off from others need not be up to date until it is connected again.
   void mark_cut_off() { undisturbed_since = TimePoint{INT64_MAX / 4}; }
   void mark_reconnected();
-  void wake();
+  void resume();
 
   const std::string name, zone;
   const bool has_disk;
@@ -44,15 +44,15 @@
   const Address address;
   SharedState& shared_state() { return *shared_state_; }
   SimulatedDisk& disk() { return disk_; }
-  LifePointer life() { return life_; }
-  Router* entries() { return components_ ? components_->entries.get() : nullptr; }
-  const CircleDuty* circle() const { return components_ ? components_->circle.get() : nullptr; }
+  ProcessPointer process() { return process_; }
+  Router* router() { return components_ ? components_->router.get() : nullptr; }
+  const CircleManager* circle() const { return components_ ? components_->circle.get() : nullptr; }
   StoreClient* client() { return components_ ? components_->client.get() : nullptr; }
   Control* control() { return components_ ? components_->control.get() : nullptr; }
   // The messenger of the operator interface, for operator dialects that a test attaches to it; null while the machine
   // is down.
   Messenger* control_messenger() { return components_ ? components_->messengers.at("control").get() : nullptr; }
-  ReplicatedStore* kept() { return components_ ? components_->kept.get() : nullptr; }
+  ReplicatedStore* replicated_store() { return components_ ? components_->replicated_store.get() : nullptr; }
   // Messages and bytes sent; bytes_in counts the bytes received while World::measuring is set.
   std::uint64_t frames = 0, bytes = 0, bytes_in = 0;
   Duration clock_offset{};      // The error of its wall clock.
@@ -64,12 +64,12 @@
     std::unique_ptr<SimulatedRunnerClient> live_runner_client, lot_runner_client;
     std::unique_ptr<Sessions> sessions;
     std::unique_ptr<ConfigurationGossip> gossip;
-    std::unique_ptr<Founding> founding;
-    std::unique_ptr<ReplicatedStore> kept;
-    std::unique_ptr<CircleDuty> circle;
+    std::unique_ptr<RosterBootstrap> roster_bootstrap;
+    std::unique_ptr<ReplicatedStore> replicated_store;
+    std::unique_ptr<CircleManager> circle;
     std::unique_ptr<Lots> lots;
     std::unique_ptr<ItemPlacer> item_placer;
-    std::unique_ptr<Router> entries;
+    std::unique_ptr<Router> router;
     std::unique_ptr<Control> control;
     std::unique_ptr<StoreClient> client;
   };
@@ -81,7 +81,7 @@
   SimulatedCluster& cluster_;
   const Duration time_per_kilobyte_;
   TimePoint busy_until_;
-  LifePointer life_;
+  ProcessPointer process_;
   std::unique_ptr<SharedState> shared_state_ = std::make_unique<SharedState>();
   std::unique_ptr<SimulatedTimers> timers_;
   SimulatedDisk disk_;
@@ -98,10 +98,10 @@
   std::vector<std::unique_ptr<Machine>> machines;
   std::vector<std::unique_ptr<RunnerModel>> runners;
 
-  Machine* machine_at(const Address& address);
+  Machine* find_machine(const Address& address);
   RunnerModel* find_runner(const Address& address);
-  std::vector<Machine*> holders();  // The storage nodes: all machines with a disk, dead ones included.
-  // A random machine that is alive, not frozen and open to clients; the first machine if there is none.
+  std::vector<Machine*> storage_nodes();  // All machines with a disk, dead ones included.
+  // A random machine that is alive, not suspended and open to clients; the first machine if there is none.
   Machine& any_alive();
   // Adds a machine with an empty disk at a new address; it is not started yet.
   Machine& add_machine(const std::string& zone, const std::string& keeps = {});
@@ -123,7 +123,7 @@
   std::size_t max_client_backlog = 0;  // The most bytes of a response that waited for a client to read them.
   std::size_t longest_message = 0;     // The longest message between machines, in bytes.
   // Requests the progress of a storage node's retirement from any daemon, as an operator does.
-  void retirement(const std::string& roster, const Address& holder, std::function<void(RetirementReply)> then);
+  void query_retirement(const std::string& roster, const Address& holder, std::function<void(RetirementReply)> then);
   // Starts a crashed runner again; it is slower than usual (cold) for the given time.
   void restart_runner(RunnerModel& runner, Duration cold);
   bool ready() const { return ready_; }
@@ -141,7 +141,7 @@
   std::vector<std::string> broken;   // Violations of the rules that the cluster and the scenarios check themselves.
   std::vector<std::string> figures;  // Figures that a scenario prints in addition to its verdict.
   bool total_loss_injected = false;  // Set once the closing fault has taken every machine down.
-  bool watched = true;               // Whether start() also starts check_rules_periodically.
+  bool checks_rules = true;          // Whether start() also starts check_rules_periodically.
   void check_rules_periodically();
 
  private:
@@ -149,7 +149,7 @@
   // A request in progress from a client or an operator; `lost` is called when its machine is killed.
   struct Call {
     Machine* machine = nullptr;
-    LifePointer life;
+    ProcessPointer process;
     std::function<void()> on_machine_killed;
   };
   struct LotState;  // A lot (batch) that a client has submitted, with the results it has read so far.
--- a/source/simulate/faults.cpp
+++ b/source/simulate/faults.cpp
@@ -17,7 +17,7 @@
 Machine& pick_machine(SimulatedCluster& cluster, bool with_disk) {
   std::vector<Machine*> list;
   for (auto& machine : cluster.machines)
-    if (machine->alive() && !machine->frozen() && machine->has_disk == with_disk) list.push_back(machine.get());
+    if (machine->alive() && !machine->suspended() && machine->has_disk == with_disk) list.push_back(machine.get());
   return list.empty() ? *cluster.machines[0] : *list[cluster.world.random.below(list.size())];
 }
 
@@ -29,11 +29,11 @@
 }
 
 Machine& owner_of(SimulatedCluster& cluster, const std::string& key) {
-  for (Machine* node : cluster.holders())
-    if (node->alive() && (node->keeps.empty() || lot_key(key) != node->serves()) &&
+  for (Machine* node : cluster.storage_nodes())
+    if (node->alive() && (node->keeps.empty() || is_lot_key(key) != node->serves()) &&
         node->shared_state().owned.get()->slots.contains(slot_of(key)))
       return *node;
-  return *cluster.holders()[0];
+  return *cluster.storage_nodes()[0];
 }
 
 std::string runner_document(const RunnerModel& runner, bool leaving) {
@@ -51,14 +51,14 @@
   for (auto& machine : cluster.machines) zones.insert(machine->zone);
   for (const auto& other : zones) {
     if (other == zone) continue;
-    cluster.world.cut(zone, other);
-    if (both) cluster.world.cut(other, zone);
+    cluster.world.partition(zone, other);
+    if (both) cluster.world.partition(other, zone);
   }
   for (auto& machine : cluster.machines)
     if (machine->zone == zone || !both) machine->mark_cut_off();
   cluster.world.after(length, [&cluster] {
     cluster.world.log_event("the network is mended");
-    cluster.world.mend();
+    cluster.world.heal();
     for (auto& machine : cluster.machines) machine->mark_reconnected();
   });
 }
@@ -164,7 +164,8 @@
   const auto& circle = configuration->circles.at("model").spec;
   RunnerModel* runner = nullptr;
   for (auto& each : cluster.runners)
-    if (each->kind == "model" && circle.bears(each->name, configuration->runners.at(each->name).spec.generation) &&
+    if (each->kind == "model" &&
+        circle.takes_full_share(each->name, configuration->runners.at(each->name).spec.generation) &&
         each->active >= (announced ? 0u : 1u) && (runner == nullptr || each->active < runner->active))
       runner = each.get();
   if (runner == nullptr) return cluster.world.log_event("no runner fits");
@@ -192,8 +193,8 @@
 }
 
 void freeze_for(SimulatedCluster& cluster, Machine& machine, Duration length) {
-  machine.freeze();
-  cluster.world.after(length, [&machine] { machine.wake(); });
+  machine.suspend();
+  cluster.world.after(length, [&machine] { machine.resume(); });
 }
 
 void inject_random_fault(SimulatedCluster& cluster) {
--- a/source/simulate/history_scenarios.cpp
+++ b/source/simulate/history_scenarios.cpp
@@ -107,14 +107,14 @@
 
 Machine& pick_control_storage_node(SimulatedCluster& cluster) {
   std::vector<Machine*> list;
-  for (Machine* node : cluster.holders())
+  for (Machine* node : cluster.storage_nodes())
     if (node->serves()) list.push_back(node);
   return *list[cluster.world.random.below(list.size())];
 }
 
 Machine* owner_of(SimulatedCluster& cluster, const std::string& key) {
-  for (Machine* node : cluster.holders())
-    if (node->alive() && !node->frozen() && node->serves() &&
+  for (Machine* node : cluster.storage_nodes())
+    if (node->alive() && !node->suspended() && node->serves() &&
         node->shared_state().owned.get()->slots.contains(slot_of(key)))
       return node;
   return nullptr;
@@ -169,8 +169,8 @@
 // All storage nodes lose power and return together. No node can update the one that was down before it owns keys, so
 // only the epochs promised by the others keep it from serving outdated data.
 void restart_all_storage_nodes(SimulatedCluster& cluster, Machine&) {
-  for (Machine* node : cluster.holders()) node->kill(false);
-  for (Machine* node : cluster.holders())
+  for (Machine* node : cluster.storage_nodes()) node->kill(false);
+  for (Machine* node : cluster.storage_nodes())
     if (!node->alive()) node->start();
 }
 
@@ -204,8 +204,8 @@
   add("history-away", "500 changes while a storage node is down", kill, no_action, start, no_action);
   add(
       "history-frozen", "500 changes while a storage node is suspended",
-      [](SimulatedCluster&, Machine& machine) { machine.freeze(); }, no_action,
-      [](SimulatedCluster&, Machine& machine) { machine.wake(); }, no_action);
+      [](SimulatedCluster&, Machine& machine) { machine.suspend(); }, no_action,
+      [](SimulatedCluster&, Machine& machine) { machine.resume(); }, no_action);
   add(
       "history-slow-disk",
       "500 changes while the disk of a storage node takes 60 ms for a sync, then the node is killed and restarted",
--- a/source/simulate/scenario_run.cpp
+++ b/source/simulate/scenario_run.cpp
@@ -13,7 +13,7 @@
   const Outcome quiet = run(*find_scenario("points"), seed, shape);
   SeededRandom random(seed);
   std::vector<InjectedFault> list;
-  for (const auto& [kind, count] : quiet.points)
+  for (const auto& [kind, count] : quiet.fault_point_counts)
     for (const char* action : {"kill", "wipe", "freeze"})
       for (std::uint64_t turn = 0; turn < times; ++turn)
         list.push_back(InjectedFault{kind, action, 1 + random.below(std::max<std::uint64_t>(1, count * 9 / 10))});
@@ -29,10 +29,11 @@
 std::vector<std::string> violated_invariants(SimulatedCluster& cluster) {
   std::vector<std::string> list;
   for (const auto& machine : cluster.machines) {
-    if (const Router* router = machine->entries(); router != nullptr && router->counts().held_beside_idle > 0)
+    if (const Router* router = machine->router(); router != nullptr && router->counts().delayed_beside_idle > 0)
       list.push_back("a limit held requests up beside idle runners: " + machine->name + " counts " +
-                     std::to_string(router->counts().held_beside_idle));
-    if (const CircleDuty* circle = machine->circle(); circle != nullptr && circle->counts().connections_over_limit > 0)
+                     std::to_string(router->counts().delayed_beside_idle));
+    if (const CircleManager* circle = machine->circle();
+        circle != nullptr && circle->counts().connections_over_limit > 0)
       list.push_back("a runner had more connections than it takes: " + machine->name + " counts " +
                      std::to_string(circle->counts().connections_over_limit));
   }
@@ -51,10 +52,10 @@
 // Arms the fault point; `reached` becomes true when a machine passes it.
 void arm_fault_point(SimulatedCluster& cluster, const InjectedFault& fault, bool& reached) {
   World& world = cluster.world;
-  world.points.clear();
+  world.fault_point_counts.clear();
   world.armed_kind = fault.kind;
-  world.armed = fault.number;
-  world.strike = [&cluster, &fault, &reached](const std::string& machine_name) {
+  world.armed_number = fault.number;
+  world.inject_fault = [&cluster, &fault, &reached](const std::string& machine_name) {
     reached = true;
     for (auto& machine : cluster.machines) {
       if (machine->name != machine_name || !machine->alive()) continue;
@@ -72,8 +73,8 @@
     cluster.world.log_event("the closing fault");
     total_loss(cluster, seed % 3 == 1, seed % 3 == 2);
   });
-  return Limits{std::max<std::int64_t>(scenario.limits.result_lag, 9000),
-                std::max<std::int64_t>(scenario.limits.refused_per_thousand, 150)};
+  return Limits{std::max<std::int64_t>(scenario.limits.max_result_lag, 9000),
+                std::max<std::int64_t>(scenario.limits.max_refused_per_thousand, 150)};
 }
 
 // The runners that were given more requests at once than 1.5 times their slots while cold or running items, or more
@@ -113,7 +114,7 @@
     outcome.bytes += machine->bytes;
     if (!machine->alive()) continue;
     if (!machine->shared_state().has_lease(cluster.world.now()))
-      outcome.verdict.broken.push_back("not serving at the end: " + machine->name);
+      outcome.verdict.violations.push_back("not serving at the end: " + machine->name);
     outcome.final_state.push_back(
         machine->name + " owns " + std::to_string(machine->shared_state().owned.get()->slots.size()) +
         " slots, roster " + std::to_string(machine->shared_state().configuration.get()->roster.version.value));
@@ -141,12 +142,12 @@
       closing && !scenario.has_closing_fault ? schedule_closing_fault(cluster, scenario, seed) : scenario.limits;
   world.run_until(world.now() + scenario.load + scenario.settle);
   outcome.verdict = judge(world.ledger(), limits);
-  for (const auto& each : collect_violations(cluster, fault, reached)) outcome.verdict.broken.push_back(each);
+  for (const auto& each : collect_violations(cluster, fault, reached)) outcome.verdict.violations.push_back(each);
   record_final_state(cluster, outcome);
-  outcome.story = world.story();
+  outcome.event_log = world.event_log();
   outcome.virtual_seconds = static_cast<double>(world.now().microseconds) / 1e6;
   outcome.events = world.events;
-  outcome.points = world.points;
+  outcome.fault_point_counts = world.fault_point_counts;
   outcome.figures = cluster.figures;
   return outcome;
 }
--- a/source/simulate/world.cpp
+++ b/source/simulate/world.cpp
@@ -15,8 +15,8 @@
 }
 }  // namespace
 
-void World::at(Duration span, LifePointer life, Task task) {
-  queue_.push(Event{now_ + std::max(span, Duration{0}), ++last_order_, std::move(life),
+void World::at(Duration delay, ProcessPointer process, Task task) {
+  queue_.push(Event{now_ + std::max(delay, Duration{0}), ++last_order_, std::move(process),
                     std::make_shared<Task>(std::move(task))});
 }
 
@@ -25,27 +25,27 @@
     Event event = queue_.top();
     queue_.pop();
     now_ = std::max(now_, event.time);
-    if (event.life && !event.life->alive) continue;
-    if (event.life && event.life->frozen) {
-      event.life->deferred.emplace_back(event.order, std::move(*event.task));
+    if (event.process && !event.process->alive) continue;
+    if (event.process && event.process->suspended) {
+      event.process->deferred.emplace_back(event.order, std::move(*event.task));
       continue;
     }
     ++events;
-    const std::uint64_t started_at = measuring && event.life ? processor_time() : 0;
+    const std::uint64_t started_at = measuring && event.process ? processor_time() : 0;
     (*event.task)();
     event.task.reset();
-    if (started_at > 0) event.life->processor += processor_time() - started_at;
+    if (started_at > 0) event.process->processor += processor_time() - started_at;
     destroyed_objects.clear();
   }
   now_ = std::max(now_, end);
 }
 
-void World::wake(const LifePointer& life) {
-  life->frozen = false;
-  auto tasks = std::move(life->deferred);
-  life->deferred.clear();
+void World::resume(const ProcessPointer& process) {
+  process->suspended = false;
+  auto tasks = std::move(process->deferred);
+  process->deferred.clear();
   std::sort(tasks.begin(), tasks.end(), [](const auto& left, const auto& right) { return left.first < right.first; });
-  for (auto& [order, task] : tasks) at(Duration{0}, life, std::move(task));
+  for (auto& [order, task] : tasks) at(Duration{0}, process, std::move(task));
 }
 
 Duration World::shortest_delay(const std::string& from_zone, const std::string& to_zone) {
@@ -59,12 +59,12 @@
   return Duration(base + static_cast<std::int64_t>(random.below(static_cast<std::size_t>(base))) + slow);
 }
 
-bool World::is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
-                   const std::string& to_zone) const {
-  if (cuts_.empty()) return false;
+bool World::is_blocked(const std::string& from, const std::string& from_zone, const std::string& to,
+                       const std::string& to_zone) const {
+  if (partitions_.empty()) return false;
   for (const auto& sender : {from, from_zone, std::string("*")})
     for (const auto& receiver : {to, to_zone, std::string("*")})
-      if (cuts_.contains({sender, receiver})) return true;
+      if (partitions_.contains({sender, receiver})) return true;
   return false;
 }
 
@@ -78,25 +78,25 @@
 }
 
 void World::pass_fault_point(const std::string& kind, const std::string& machine_name) {
-  const std::uint64_t number = ++points[kind];
-  if (kind != armed_kind || number != armed) return;
+  const std::uint64_t number = ++fault_point_counts[kind];
+  if (kind != armed_kind || number != armed_number) return;
   // The fault is injected in an event of its own, because the machine that passed the point is still on the stack.
-  after(Duration{0}, [this, machine_name] { strike(machine_name); });
+  after(Duration{0}, [this, machine_name] { inject_fault(machine_name); });
 }
 
-Timers::Id SimulatedTimers::after(Duration span, Task task) {
+Timers::Id SimulatedTimers::after(Duration delay, Task task) {
   const Id id = ++last_id_;
   active_->insert(id);
-  world_.at(span, life_, [active = active_, id, task = std::move(task)] {
+  world_.at(delay, process_, [active = active_, id, task = std::move(task)] {
     if (active->erase(id) > 0) task();
   });
   return id;
 }
 
-void SimulatedDisk::own(LifePointer life) {
-  life_ = std::move(life);
+void SimulatedDisk::attach(ProcessPointer process) {
+  process_ = std::move(process);
   busy_ = false;
-  orders_.clear();
+  requests_.clear();
   syncing_.clear();
   log_files_ = std::make_unique<LogFiles>(volume_);
   log_files_->open();
@@ -108,40 +108,41 @@
   return log_files_->read_all();
 }
 
-void SimulatedDisk::pass_fault_point(const DiskOrder& order, bool done) {
-  if (order.kind == DiskOrder::Kind::append) world_.pass_fault_point(done ? "synced" : "append", machine_name_);
-  if (order.kind == DiskOrder::Kind::write_next) world_.pass_fault_point(done ? "rewritten" : "rewrite", machine_name_);
-  if (order.kind == DiskOrder::Kind::switch_to_next)
+void SimulatedDisk::pass_fault_point(const DiskRequest& request, bool done) {
+  if (request.kind == DiskRequest::Kind::append) world_.pass_fault_point(done ? "synced" : "append", machine_name_);
+  if (request.kind == DiskRequest::Kind::write_next)
+    world_.pass_fault_point(done ? "rewritten" : "rewrite", machine_name_);
+  if (request.kind == DiskRequest::Kind::switch_to_next)
     world_.pass_fault_point(done ? "switched" : "switch", machine_name_);
 }
 
-void SimulatedDisk::order(DiskOrder order) {
-  pass_fault_point(order, false);
-  orders_.push_back(std::move(order));
+void SimulatedDisk::submit(DiskRequest request) {
+  pass_fault_point(request, false);
+  requests_.push_back(std::move(request));
   if (!busy_) begin_sync();
 }
 
-// One sync covers all orders that were given before it begins, as in the daemon's own disk (host/file_disk.cpp).
+// One sync covers all requests that were submitted before it begins, as in the daemon's own disk (host/file_disk.cpp).
 void SimulatedDisk::begin_sync() {
   busy_ = true;
-  syncing_.swap(orders_);
+  syncing_.swap(requests_);
   world_.at(Duration(sync_time.count() / 2 +
                      static_cast<std::int64_t>(world_.random.below(static_cast<std::size_t>(sync_time.count())))),
-            life_, [this] { complete_sync(); });
+            process_, [this] { complete_sync(); });
 }
 
 void SimulatedDisk::complete_sync() {
-  if (stalled) return world_.at(std::chrono::milliseconds(50), life_, [this] { complete_sync(); });
-  const LifePointer life = life_;
-  const std::deque<DiskOrder> executed = std::exchange(syncing_, {});
+  if (stalled) return world_.at(std::chrono::milliseconds(50), process_, [this] { complete_sync(); });
+  const ProcessPointer process = process_;
+  const std::deque<DiskRequest> executed = std::exchange(syncing_, {});
   const std::vector<bool> results = log_files_->execute(executed);
   for (std::size_t index = 0; index < executed.size(); ++index) {
     if (results[index]) pass_fault_point(executed[index], true);
     executed[index].done(results[index]);
-    if (!life->alive) return;
+    if (!process->alive) return;
   }
   busy_ = false;
-  if (!orders_.empty()) begin_sync();
+  if (!requests_.empty()) begin_sync();
 }
 
 // A random number of the first steps of the sync in progress is executed; then any part of the unsynced data is lost.
--- a/source/simulate/world.hpp
+++ b/source/simulate/world.hpp
@@ -13,14 +13,14 @@
 namespace mothwalk::simulate {
 
 // One run of a simulated process. Events that belong to it are dropped once it has died, and are deferred while it is
-// frozen (suspended).
-struct Life {
-  bool alive = true, frozen = false;
+// suspended.
+struct ProcessState {
+  bool alive = true, suspended = false;
   std::uint64_t processor = 0;  // Real processor time in nanoseconds; it is counted only while World::measuring is set.
-  // The events that became due while the process was frozen, each with its position in the event order.
+  // The events that became due while the process was suspended, each with its position in the event order.
   std::vector<std::pair<std::uint64_t, Task>> deferred;
 };
-using LifePointer = std::shared_ptr<Life>;
+using ProcessPointer = std::shared_ptr<ProcessState>;
 
 // The SplitMix64 generator, so that a run depends on its seed alone.
 class SeededRandom : public RandomSource {
@@ -46,23 +46,23 @@
   explicit World(std::uint64_t seed) : random(seed) {}
   TimePoint now() const { return now_; }
   std::int64_t milliseconds() const { return now_.microseconds / 1000; }
-  // Schedules a task for the process `life` after the given span; with a null `life` it runs in any case.
-  void at(Duration span, LifePointer life, Task task);
-  void after(Duration span, Task task) { at(span, nullptr, std::move(task)); }
+  // Schedules a task for the given process after the delay; with a null `process` it runs in any case.
+  void at(Duration delay, ProcessPointer process, Task task);
+  void after(Duration delay, Task task) { at(delay, nullptr, std::move(task)); }
   void run_until(TimePoint end);
-  void freeze(const LifePointer& life) { life->frozen = true; }
-  // Resumes a frozen process: its deferred events run now, in their original order.
-  void wake(const LifePointer& life);
+  void suspend(const ProcessPointer& process) { process->suspended = true; }
+  // Resumes a suspended process: its deferred events run now, in their original order.
+  void resume(const ProcessPointer& process);
 
   // The network between machines and runners. The delay of one message is random; shortest_delay is its lower bound.
-  // `cut` blocks messages in one direction. Each end is the name of a machine, a runner or a zone, or "*" for all.
-  // `mend` removes all blocks.
+  // `partition` blocks messages in one direction. Each end is the name of a machine, a runner or a zone, or "*" for
+  // all. `heal` removes all blocks.
   Duration delay(const std::string& from_zone, const std::string& to_zone);
   static Duration shortest_delay(const std::string& from_zone, const std::string& to_zone);
-  void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
-  void mend() { cuts_.clear(); }
-  bool is_cut(const std::string& from, const std::string& from_zone, const std::string& to,
-              const std::string& to_zone) const;
+  void partition(const std::string& from, const std::string& to) { partitions_.insert({from, to}); }
+  void heal() { partitions_.clear(); }
+  bool is_blocked(const std::string& from, const std::string& from_zone, const std::string& to,
+                  const std::string& to_zone) const;
   // The messages sent between machines and their size, by message name, counted while `measuring` is set. Then the
   // processor time of each process is counted as well.
   struct Traffic {
@@ -72,23 +72,23 @@
   bool measuring = false;
   double loss_fraction = 0;  // Fraction of the messages between machines that are lost.
   // Fraction of the messages between machines that are delivered twice, the second time possibly after later messages.
-  double repeats = 0;
+  double duplicate_fraction = 0;
 
   // Appends a line with the current time to the ledger.
   void write_ledger(json::object line);
   const std::vector<json::object>& ledger() const { return ledger_; }
   // Adds a line to the log of events that is printed for a failed run; it has at most 2000 lines.
   void log_event(const std::string& line);
-  const std::vector<std::string>& story() const { return event_log_; }
+  const std::vector<std::string>& event_log() const { return event_log_; }
 
   // Fault points: steps at which a fault can be injected (a message sent or received, a disk append, sync or rewrite,
-  // an attempt at a runner), numbered separately for each kind. When the point `armed` of the kind `armed_kind` is
-  // passed, `strike` is called with the name of the machine that passed it.
+  // an attempt at a runner), numbered separately for each kind. When point number `armed_number` of the
+  // kind `armed_kind` is passed, `inject_fault` is called with the name of the machine that passed it.
   void pass_fault_point(const std::string& kind, const std::string& machine_name);
-  std::map<std::string, std::uint64_t> points;  // The number of points passed, by kind.
+  std::map<std::string, std::uint64_t> fault_point_counts;  // The number of points passed, by kind.
   std::string armed_kind;
-  std::uint64_t armed = 0;
-  std::function<void(const std::string&)> strike;
+  std::uint64_t armed_number = 0;
+  std::function<void(const std::string&)> inject_fault;
 
   SeededRandom random;
   std::uint64_t events = 0;
@@ -99,14 +99,14 @@
   struct Event {
     TimePoint time;
     std::uint64_t order;
-    LifePointer life;
+    ProcessPointer process;
     std::shared_ptr<Task> task;
     bool operator>(const Event& other) const { return std::tie(time, order) > std::tie(other.time, other.order); }
   };
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
   TimePoint now_{1};
   std::uint64_t last_order_ = 0;
-  std::set<std::pair<std::string, std::string>> cuts_;  // Blocked directions: sender and receiver.
+  std::set<std::pair<std::string, std::string>> partitions_;  // Blocked directions: sender and receiver.
   std::vector<json::object> ledger_;
   std::vector<std::string> event_log_;
 };
@@ -114,14 +114,14 @@
 // Timers of one simulated process, on virtual time.
 class SimulatedTimers : public Timers {
  public:
-  SimulatedTimers(World& world, LifePointer life) : world_(world), life_(std::move(life)) {}
+  SimulatedTimers(World& world, ProcessPointer process) : world_(world), process_(std::move(process)) {}
   TimePoint now() const override { return world_.now(); }
-  Id after(Duration span, Task task) override;
+  Id after(Duration delay, Task task) override;
   void cancel(Id id) override { active_->erase(id); }
 
  private:
   World& world_;
-  LifePointer life_;
+  ProcessPointer process_;
   std::shared_ptr<std::set<Id>> active_ = std::make_shared<std::set<Id>>();
   Id last_id_ = 0;
 };
@@ -131,10 +131,10 @@
 class SimulatedDisk : public Disk {
  public:
   SimulatedDisk(World& world, std::string machine_name) : world_(world), machine_name_(std::move(machine_name)) {}
-  // Opens the disk for a new process.
-  void own(LifePointer life);
+  // Attaches the disk to a new process and opens its files.
+  void attach(ProcessPointer process);
   Result<Bytes> read_all() override;
-  void order(DiskOrder order) override;
+  void submit(DiskRequest request) override;
   void crash();  // Called when the process has died.
   void wipe() { volume_.wipe(); }
   // Corrupts one byte at a third of the record file.
@@ -154,14 +154,14 @@
  private:
   void begin_sync();
   void complete_sync();
-  void pass_fault_point(const DiskOrder& order, bool done);
+  void pass_fault_point(const DiskRequest& request, bool done);
   World& world_;
   std::string machine_name_;
-  LifePointer life_;
+  ProcessPointer process_;
   SimulatedVolume volume_;
   std::unique_ptr<LogFiles> log_files_;
   bool busy_ = false;
-  std::deque<DiskOrder> orders_, syncing_;  // Orders that wait, and orders in the sync in progress.
+  std::deque<DiskRequest> requests_, syncing_;  // Requests that wait, and requests in the sync in progress.
 };
 
 }  // namespace mothwalk::simulate
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -19,18 +19,18 @@
 
 // A single seed that gets its messages from the test.
 struct Seed {
-  CapturingTransport wire;
+  CapturingTransport transport;
   World world{1};
-  SimulatedTimers timers{world, std::make_shared<Life>()};
+  SimulatedTimers timers{world, std::make_shared<ProcessState>()};
   SharedState shared_state;
-  Messenger messenger{wire, timers, Address("10.0.0.9:1"), 1, "founding"};
-  Founding founding;
+  Messenger messenger{transport, timers, Address("10.0.0.9:1"), 1, "founding"};
+  RosterBootstrap founding;
   explicit Seed(bool first_start) : founding(messenger, shared_state, first_start) {}
   template <class Message>
   typename Message::Reply deliver(const std::string& from, const Message& message) {
-    messenger.take(Envelope{Address(from), 1, "founding", "store", std::string(Message::kind), 5, false,
-                            to_cbor(message), protocol_number});
-    return *from_cbor<typename Message::Reply>(wire.last.body);
+    messenger.receive(Envelope{Address(from), 1, "founding", "store", std::string(Message::kind), 5, false,
+                               to_cbor(message), protocol_number});
+    return *from_cbor<typename Message::Reply>(transport.last.body);
   }
 };
 
@@ -44,7 +44,7 @@
   for (auto& machine : cluster.machines)
     if (machine->alive())
       if (const Roster& roster = machine->shared_state().configuration.get()->roster; roster.version == Version{1})
-        rosters.insert(roster.seats);
+        rosters.insert(roster.voters);
   return rosters;
 }
 }  // namespace
@@ -57,12 +57,12 @@
   CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).candidates.size() == 2);
   CHECK(seed.deliver("10.0.0.3:1", ReportCandidate{voter("d", "10.0.0.4:1")}).candidates.size() == 2);
   const Roster first{Version{1}, {voter("a", "10.0.0.1:1")}}, second{Version{1}, {voter("b", "10.0.0.2:1")}};
-  CHECK(seed.deliver("10.0.0.1:1", AskWord{first}).roster.seats == first.seats);
-  const WordReply other = seed.deliver("10.0.0.2:1", AskWord{second});
-  CHECK((other.granted && other.roster.seats == first.seats));
-  CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).vote.seats == first.seats);
+  CHECK(seed.deliver("10.0.0.1:1", VoteRequest{first}).roster.voters == first.voters);
+  const VoteReply other = seed.deliver("10.0.0.2:1", VoteRequest{second});
+  CHECK((other.granted && other.roster.voters == first.voters));
+  CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("c", "10.0.0.2:1")}).vote.voters == first.voters);
   Seed later(false);
-  CHECK_FALSE(later.deliver("10.0.0.1:1", AskWord{first}).granted);
+  CHECK_FALSE(later.deliver("10.0.0.1:1", VoteRequest{first}).granted);
   CHECK_FALSE(later.deliver("10.0.0.1:1", ReportCandidate{voter("a", "10.0.0.1:1")}).first_start);
 }
 
@@ -72,7 +72,7 @@
   view.roster = Roster{Version{1}, {voter("a", "10.0.0.1:1")}};
   seed.shared_state.configuration.set(view);
   CHECK(seed.deliver("10.0.0.2:1", ReportCandidate{voter("b", "10.0.0.2:1")}).known);
-  CHECK_FALSE(seed.deliver("10.0.0.2:1", AskWord{Roster{Version{1}, {voter("b", "10.0.0.2:1")}}}).granted);
+  CHECK_FALSE(seed.deliver("10.0.0.2:1", VoteRequest{Roster{Version{1}, {voter("b", "10.0.0.2:1")}}}).granted);
 }
 
 TEST_CASE("the fleet gets exactly one first roster, whichever daemons are seeds, and a separate one for lots") {
@@ -84,8 +84,8 @@
     CHECK(first_rosters(cluster).size() == 1);
     world.run_until(TimePoint{} + seconds(7));
     const auto configuration = cluster.any_alive().shared_state().configuration.get();
-    CHECK(configuration->roster.seats.size() == 4);
-    CHECK(configuration->lot_roster.seats.size() == 4);
+    CHECK(configuration->roster.voters.size() == 4);
+    CHECK(configuration->lot_roster.voters.size() == 4);
     int accepted = 0;
     for (int lot = 0; lot < 20; ++lot)
       cluster.control(
@@ -93,7 +93,7 @@
           [&](int status, const std::string&) { accepted += status == 200; }, true);
     world.run_until(world.now() + seconds(2));
     CHECK(accepted == 20);
-    for (Machine* storage_node : cluster.holders()) {
+    for (Machine* storage_node : cluster.storage_nodes()) {
       CHECK((storage_node->disk().read_all().index() == 0));
       CHECK((std::get<Bytes>(storage_node->disk().read_all()).find("lot/lot-") != Bytes::npos) ==
             !storage_node->serves());
@@ -109,9 +109,9 @@
     // A candidate is killed when it sends or receives a bootstrap message, and comes back with its data folder or
     // without.
     world.armed_kind = number % 2 == 0 ? "take kept reply" : "send founding.word";
-    world.armed = number % 2 == 0 ? 40 + number * 3 : 1 + number / 2 % 3;
+    world.armed_number = number % 2 == 0 ? 40 + number * 3 : 1 + number / 2 % 3;
     bool killed = false, seed_killed = false;
-    world.strike = [&](const std::string& place) {
+    world.inject_fault = [&](const std::string& place) {
       for (auto& machine : cluster.machines)
         if (machine->name == place && machine->alive()) {
           killed = true;
@@ -143,7 +143,7 @@
   for (auto& machine : cluster.machines) machine->start();
   world.run_until(TimePoint{} + seconds(10));
   CHECK_FALSE(cluster.ready());
-  for (auto& machine : cluster.machines) CHECK(machine->shared_state().configuration.get()->roster.seats.empty());
+  for (auto& machine : cluster.machines) CHECK(machine->shared_state().configuration.get()->roster.voters.empty());
 }
 
 TEST_CASE("a wiped storage node becomes a voter again and its old identity is removed within 3.5 seconds") {
@@ -158,15 +158,15 @@
         const auto configuration = cluster.machines[4]->shared_state().configuration.get();
         return lots ? configuration->lot_roster : configuration->roster;
       };
-      const StorageNodeId before = machine.kept()->identity();
-      REQUIRE(roster().seated(before));
+      const StorageNodeId before = machine.replicated_store()->identity();
+      REQUIRE(roster().has_voter(before));
       machine.kill(true);
       const bool on_new_machine = number % 2 == 0;
       world.run_until(world.now() + seconds(2));
       Machine& replacement = on_new_machine ? cluster.add_machine("north", machine.keeps) : machine;
       replacement.start();
       const TimePoint returned = world.now();
-      while ((roster().seated(before) || !roster().seated(replacement.kept()->identity())) &&
+      while ((roster().has_voter(before) || !roster().has_voter(replacement.replicated_store()->identity())) &&
              world.now() - returned < seconds(10))
         world.run_until(world.now() + milliseconds(50));
       CHECK(world.now() - returned < milliseconds(3500));
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -27,7 +27,7 @@
  public:
   Id start(const AttemptRequest&, std::shared_ptr<AttemptObserver>) override { return 1; }
   void cancel(Id) override {}
-  void hold(Id, bool) override {}
+  void set_paused(Id, bool) override {}
 };
 
 class NullTransport : public Transport {
@@ -47,10 +47,10 @@
   auto count = [&](bool done) {
     succeeded += done;
   };
-  disk.order(DiskOrder{DiskOrder::Kind::begin_next, {}, 0, count});
-  disk.order(DiskOrder{DiskOrder::Kind::write_next, "fresh", 0, count});
-  disk.order(DiskOrder{DiskOrder::Kind::switch_to_next, {}, 0, count});
-  disk.order(DiskOrder{DiskOrder::Kind::append, " and more", 0, count});
+  disk.submit(DiskRequest{DiskRequest::Kind::begin_next, {}, 0, count});
+  disk.submit(DiskRequest{DiskRequest::Kind::write_next, "fresh", 0, count});
+  disk.submit(DiskRequest{DiskRequest::Kind::switch_to_next, {}, 0, count});
+  disk.submit(DiskRequest{DiskRequest::Kind::append, " and more", 0, count});
   disk.stop();
   CHECK(succeeded == 4);
   CHECK(std::get<Bytes>(disk.read_all()) == "fresh and more");
@@ -70,7 +70,7 @@
 TEST_CASE("a connection over the limit gets a 503 response with Retry-After") {
   boost::asio::io_context context;
   simulate::World world{7};
-  simulate::SimulatedTimers timers{world, std::make_shared<simulate::Life>()};
+  simulate::SimulatedTimers timers{world, std::make_shared<simulate::ProcessState>()};
   NullTransport transport;
   Messenger messenger{transport, timers, Address("10.0.0.1:1"), 1, "routes"};
   SharedState shared_state;
@@ -78,7 +78,7 @@
   Router router{messenger, shared_state, runner_client, world.random, Member{}};
   HttpServer server(
       context, router,
-      [](ControlRequest, ControlAnswer answer) {
+      [](ControlRequest, ControlReplyCallback answer) {
         return answer(ControlReply{200, json::object{{"good", true}}, false}), true;
       },
       1);
--- a/tests/invalid_messages_test.cpp
+++ b/tests/invalid_messages_test.cpp
@@ -22,7 +22,7 @@
 // One incarnation of a daemon, with a call to the peer in progress.
 struct PendingCall {
   World world{1};
-  SimulatedTimers timers{world, std::make_shared<Life>()};
+  SimulatedTimers timers{world, std::make_shared<ProcessState>()};
   RecordingTransport transport;
   Messenger messenger;
   std::vector<std::string> results;
@@ -49,10 +49,10 @@
 
 TEST_CASE("a reply is accepted once, and only from the peer that was called") {
   PendingCall pending(5);
-  pending.messenger.take(pending.reply(other));
+  pending.messenger.receive(pending.reply(other));
   CHECK(pending.results.empty());
-  pending.messenger.take(pending.reply(peer));
-  pending.messenger.take(pending.reply(peer));
+  pending.messenger.receive(pending.reply(peer));
+  pending.messenger.receive(pending.reply(peer));
   pending.world.run_until(pending.world.now() + seconds(2));
   CHECK(pending.results == std::vector<std::string>{"answer"});
 }
@@ -61,19 +61,19 @@
   SeededRandom random(4);
   PendingCall earlier(new_incarnation(milliseconds(1000), random)),
       current(new_incarnation(milliseconds(1300), random));
-  current.messenger.take(earlier.reply(peer));
+  current.messenger.receive(earlier.reply(peer));
   CHECK(current.results.empty());
-  current.messenger.take(current.reply(peer));
+  current.messenger.receive(current.reply(peer));
   CHECK(current.results == std::vector<std::string>{"answer"});
 }
 
 TEST_CASE("a message of another protocol version reaches no component, and a call is refused with an error") {
   World world(1);
-  SimulatedTimers timers(world, std::make_shared<Life>());
+  SimulatedTimers timers(world, std::make_shared<ProcessState>());
   RecordingTransport transport;
   SharedState shared_state;
   SimulatedDisk disk(world, "here");
-  disk.own(std::make_shared<Life>());
+  disk.attach(std::make_shared<ProcessState>());
   Messenger messenger(transport, timers, self, 1, "store");
   Member member;
   member.address = self;
@@ -91,7 +91,7 @@
     envelope.call = call;
     envelope.body = body;
     envelope.protocol = protocol;
-    messenger.take(std::move(envelope));
+    messenger.receive(std::move(envelope));
     world.run_until(world.now() + milliseconds(10));
   };
   RosterUpdate roster_update;
@@ -107,7 +107,7 @@
     send(RosterUpdate::kind, to_cbor(roster_update), 0, protocol);
     send(Promise::kind, to_cbor(promise), 8, protocol);
     CHECK(disk.size() == size);
-    CHECK(shared_state.control_seats.get()->empty());
+    CHECK(shared_state.known_control_voters.get()->empty());
     std::size_t refusals = 0;
     for (const auto& envelope : transport.sent) {
       if (!envelope.reply) continue;
@@ -128,7 +128,7 @@
   cluster.start();
   for (int count = 0; count < 400 && !cluster.ready(); ++count) world.run_until(world.now() + milliseconds(100));
   REQUIRE(cluster.ready());
-  world.repeats = 1;
+  world.duplicate_fraction = 1;
   int acknowledged = 0, accepted_lots = 0;
   // The next change of each lane is sent once the previous one has been acknowledged.
   std::function<void(int)> send_change = [&](int number) {
--- a/tests/lot_batches_test.cpp
+++ b/tests/lot_batches_test.cpp
@@ -1,6 +1,6 @@
 // Batches at their owner: result positions after a change of owner, cancellation, writes with unknown outcome, waiting
 // reads, pages and item bodies.
-#include "lots/lot_calls.hpp"
+#include "lots/lot_client.hpp"
 #include "lots_fixture.hpp"
 
 using namespace mothwalk;
@@ -42,8 +42,8 @@
   CHECK(second.fetch(10).size() == 3);
   // The same with a placer that holds two items. Placers are asked when the slot is taken over.
   OwnerFixture third(store, 6);
-  third.held_items = {ItemName{"lot", items[0].item, items[0].attempt},
-                      ItemName{"lot", items[1].item, items[1].attempt}};
+  third.held_items = {ItemAttemptId{"lot", items[0].item, items[0].attempt},
+                      ItemAttemptId{"lot", items[1].item, items[1].attempt}};
   third.shared_state.owned.set(Ownership{});
   third.wait(milliseconds(100));
   Ownership owned;
@@ -112,7 +112,7 @@
   report.outcome = "answer";
   report.status = 200;
   report.body = "late";
-  owner.send_request(FinishItems{{report}});
+  owner.send_request(ReportItems{{report}});
   owner.regain_slots(5);
   CHECK(owner.lots.counts().lots_kept == 0);
   CHECK(owner.lots.counts().lots_rebuilt == 1);
@@ -379,33 +379,33 @@
     std::vector<Envelope> sent;
   };
   for (const bool unknown_before : {false, true}) {
-    RecordingTransport wire;
+    RecordingTransport transport;
     simulate::World world(3);
-    simulate::SimulatedTimers timers(world, std::make_shared<simulate::Life>());
+    simulate::SimulatedTimers timers(world, std::make_shared<simulate::ProcessState>());
     const Address owner("10.0.0.2:1");
-    Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "control");
+    Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "control");
     SharedState shared_state;
     ConfigurationView view;
     const Bytes roster = R"({"version":1,"seats":[{"holder":"holder","address":"10.0.0.2:1","zone":"h"}]})";
-    REQUIRE(put_in_view(view, "roster", &roster, Stamp{}));
+    REQUIRE(apply_to_view(view, "roster", &roster, Stamp{}));
     shared_state.configuration.set(view);
     Members members;
     members.all[owner].address = owner;
     members.all[owner].holder = StorageNodeId("holder");
     shared_state.members.set(members);
-    LotCalls calls(messenger, shared_state);
+    LotClient client(messenger, shared_state);
     std::optional<Result<LotStatus>> outcome;
-    calls.submit(SubmitLot{"lot", OwnerFixture::make_batch(1)}, seconds(2),
-                 [&](Result<LotStatus> result) { outcome = std::move(result); });
+    client.submit(SubmitLot{"lot", OwnerFixture::make_batch(1)}, seconds(2),
+                  [&](Result<LotStatus> result) { outcome = std::move(result); });
     auto send_error = [&](ErrorKind kind) {
-      messenger.take(Envelope{owner, 1, "control", "lots", "fault", wire.sent.back().call, true,
-                              to_cbor(WireError{static_cast<std::int32_t>(kind), "lots", "no", "again"}),
-                              protocol_number});
+      messenger.receive(Envelope{owner, 1, "control", "lots", "fault", transport.sent.back().call, true,
+                                 to_cbor(WireError{static_cast<std::int32_t>(kind), "lots", "no", "again"}),
+                                 protocol_number});
       world.run_until(world.now() + milliseconds(150));
     };
-    REQUIRE(wire.sent.size() == 1);
+    REQUIRE(transport.sent.size() == 1);
     if (unknown_before) send_error(ErrorKind::unknown);
-    REQUIRE(wire.sent.size() == (unknown_before ? 2u : 1u));
+    REQUIRE(transport.sent.size() == (unknown_before ? 2u : 1u));
     send_error(ErrorKind::refused);
     REQUIRE(outcome);
     REQUIRE(error_of(*outcome) != nullptr);
--- a/tests/lots_fixture.hpp
+++ b/tests/lots_fixture.hpp
@@ -63,7 +63,7 @@
   }
   ~OwnerFixture() override { incarnation->alive = false; }
   void put(const std::string& key, const Bytes& value) {
-    REQUIRE(put_in_view(view, key, &value, Stamp{}));
+    REQUIRE(apply_to_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   void send(const Address& to, Envelope envelope) override {
@@ -79,13 +79,13 @@
   }
   void send_placer_reply(const Envelope& request, Bytes body, const Address& from) {
     world.at(std::chrono::milliseconds(1), incarnation, [this, request, body, from] {
-      messenger.take(Envelope{from, 1, "lots", "placing", "reply", request.call, true, body, protocol_number});
+      messenger.receive(Envelope{from, 1, "lots", "placing", "reply", request.call, true, body, protocol_number});
     });
   }
   void handle_store_request(const Envelope& request) {
     auto send_reply = [&](Bytes body, bool error = false) {
-      messenger.take(Envelope{self, 1, "lots", "store", error ? "fault" : "reply", request.call, true, std::move(body),
-                              protocol_number});
+      messenger.receive(Envelope{self, 1, "lots", "store", error ? "fault" : "reply", request.call, true,
+                                 std::move(body), protocol_number});
     };
     auto send_error = [&](ErrorKind kind) {
       send_reply(to_cbor(WireError{static_cast<std::int32_t>(kind), "slot", "no", "ask again"}), true);
@@ -124,8 +124,8 @@
   // Sends a request to the owner and returns the number of the call.
   template <class Message>
   std::uint64_t send_request(const Message& message, const Address& from = Address("10.0.0.2:1")) {
-    messenger.take(Envelope{from, 7, "lots", "placing", std::string(Message::kind), ++calls, false, to_cbor(message),
-                            protocol_number});
+    messenger.receive(Envelope{from, 7, "lots", "placing", std::string(Message::kind), ++calls, false, to_cbor(message),
+                               protocol_number});
     return calls;
   }
   const Envelope* reply_to_call(std::uint64_t number) const {
@@ -175,7 +175,7 @@
   bool report(const PlacedItem& item, const std::string& outcome, const Bytes& body = {}, PartialStream part = {},
               std::uint32_t failures = 0) {
     auto result = request(
-        FinishItems{{ItemReport{item.lot, item.item, item.attempt, outcome, 200, body, std::move(part), failures}}});
+        ReportItems{{ItemReport{item.lot, item.item, item.attempt, outcome, 200, body, std::move(part), failures}}});
     return error_of(result) == nullptr && std::get<ReportItemsReply>(result).acknowledged.size() == 1;
   }
   LotPage read(const std::string& id, std::uint32_t after = 0, std::uint32_t limit = 1000) {
@@ -185,7 +185,7 @@
   const Address self{"10.0.0.1:1"};
   ScriptedStore& store;
   simulate::World world{3};
-  simulate::LifePointer incarnation = std::make_shared<simulate::Life>();
+  simulate::ProcessPointer incarnation = std::make_shared<simulate::ProcessState>();
   simulate::SimulatedTimers timers{world, incarnation};
   SharedState shared_state;
   Members members;
@@ -194,7 +194,7 @@
   std::vector<Envelope> sent;
   std::vector<Address> placers_asked;
   bool placers_reply = true;
-  std::vector<ItemName> held_items;  // The items that the placers report to hold.
+  std::vector<ItemAttemptId> held_items;  // The items that the placers report to hold.
   std::uint64_t calls = 1000, writes = 0;
   std::uint64_t expected_growth = 0;  // The value stated by the last write.
 
@@ -215,11 +215,11 @@
     if (!attempt.version.empty()) request.headers.push_back({"Expected", attempt.version});
     if (attempt.last_event) request.headers.push_back({"After", std::to_string(*attempt.last_event)});
   }
-  ResponseInfo read_answer(int status, const std::vector<Header>& headers,
-                           const RequestInfo& request_info) const override {
+  ResponseInfo read_response(int status, const std::vector<Header>& headers,
+                             const RequestInfo& request_info) const override {
     ResponseInfo response;
     response.not_run = header_of(headers, "Not-Run") != nullptr;
-    if (const auto* id = header_of(headers, "Id")) response.foreign = *id != request_info.id;
+    if (const auto* id = header_of(headers, "Id")) response.mismatched = *id != request_info.id;
     if (const auto* version = header_of(headers, "Version")) response.version = *version;
     response.other_instance = status == 421;
     return response;
@@ -244,7 +244,7 @@
     return attempts.size();
   }
   void cancel(Id id) override { attempts[id - 1].cancelled = true; }
-  void hold(Id, bool) override {}
+  void set_paused(Id, bool) override {}
   std::deque<Attempt> attempts;
 };
 
@@ -270,7 +270,7 @@
   }
   ~PlacerFixture() override { incarnation->alive = false; }
   void put(const std::string& key, const Bytes& value) {
-    REQUIRE(put_in_view(view, key, &value, Stamp{}));
+    REQUIRE(apply_to_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   // Lets a second pass and then refreshes the load totals.
@@ -289,7 +289,7 @@
       return send_reply(envelope, to_cbor(reply), fetch_reply_delay);
     }
     if (!envelope.reply && envelope.kind == "lots.finish") {
-      const auto message = *from_cbor<FinishItems>(envelope.body);
+      const auto message = *from_cbor<ReportItems>(envelope.body);
       ReportItemsReply reply;
       for (std::uint32_t index = 0; index < message.items.size() && acknowledges; ++index) {
         reports.push_back(message.items[index]);
@@ -301,12 +301,12 @@
   }
   void send_reply(const Envelope& request, Bytes body, Duration after = std::chrono::milliseconds(1)) {
     world.at(after, incarnation, [this, request, body] {
-      messenger.take(Envelope{self, 1, "placing", "lots", "reply", request.call, true, body, protocol_number});
+      messenger.receive(Envelope{self, 1, "placing", "lots", "reply", request.call, true, body, protocol_number});
     });
   }
   template <class Message>
   void send_message(const Message& message) {
-    messenger.take(
+    messenger.receive(
         Envelope{self, 7, "placing", "lots", std::string(Message::kind), 0, false, to_cbor(message), protocol_number});
   }
   static PlacedItem make_item(std::uint32_t index = 0, PartialStream part = {}) {
@@ -330,7 +330,7 @@
   }
   // Plays the runner's response to the attempt, and returns the placer's report.
   ItemReport complete(FakeRunnerClient::Attempt& attempt, int status, const Bytes& bytes,
-                      AttemptOutcome outcome = AttemptOutcome::whole, std::vector<Header> headers = {}) {
+                      AttemptOutcome outcome = AttemptOutcome::complete, std::vector<Header> headers = {}) {
     if (status > 0) attempt.observer->on_head(status, headers);
     // Small chunks split the events.
     for (std::size_t at = 0; at < bytes.size(); at += 7) attempt.observer->on_chunk(StringView(bytes).substr(at, 7));
@@ -342,7 +342,7 @@
 
   const Address self{"10.0.0.2:1"};
   simulate::World world{3};
-  simulate::LifePointer incarnation = std::make_shared<simulate::Life>();
+  simulate::ProcessPointer incarnation = std::make_shared<simulate::ProcessState>();
   simulate::SimulatedTimers timers{world, incarnation};
   SharedState shared_state;
   ConfigurationView view;
--- a/tests/messenger_test.cpp
+++ b/tests/messenger_test.cpp
@@ -28,7 +28,7 @@
 
 TEST_CASE("a reply to a request of an earlier incarnation completes no request of the new incarnation") {
   simulate::World world(3);
-  auto process_life = std::make_shared<simulate::Life>();
+  auto process_life = std::make_shared<simulate::ProcessState>();
   simulate::SimulatedTimers timers(world, process_life);
   const Address self("10.0.0.1:1"), peer("10.0.0.2:1");
   constexpr int request_count = 300;
@@ -40,8 +40,8 @@
     former_messenger.request(peer, Confirm{}, std::chrono::seconds(1), [](Result<StoreReply>) {});
     messenger.request(peer, Confirm{}, std::chrono::seconds(1), [&](Result<StoreReply>) { ++completed; });
   }
-  for (const auto& request : former_transport.sent) messenger.take(reply_to(request, peer));
+  for (const auto& request : former_transport.sent) messenger.receive(reply_to(request, peer));
   CHECK(completed == 0);
-  for (const auto& request : transport.sent) messenger.take(reply_to(request, peer));
+  for (const auto& request : transport.sent) messenger.receive(reply_to(request, peer));
   CHECK(completed == request_count);
 }
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -32,7 +32,7 @@
   Roster roster{Version{1}, {}};
   for (const auto& machine : machines)
     if (std::find(names.begin(), names.end(), machine.name) != names.end())
-      roster.seats.push_back(
+      roster.voters.push_back(
           Voter{StorageNodeId("holder-" + machine.name), address_of(machine.name), ZoneId(machine.zone), machine.name});
   return roster;
 }
@@ -64,7 +64,7 @@
     auto new_messenger = std::make_unique<Messenger>(*this, *timers_, address, self.incarnation, slice);
     return *(components_->messengers[slice] = std::move(new_messenger));
   };
-  components_->founding = std::make_unique<Founding>(messenger("founding"), *shared_state_, first_start);
+  components_->founding = std::make_unique<RosterBootstrap>(messenger("founding"), *shared_state_, first_start);
   if (setup.has_disk) {
     ReplicatedStore::Report report;
     components_->store = std::make_unique<ReplicatedStore>(messenger("store"), *shared_state_, disk, *random_, self,
@@ -103,7 +103,7 @@
 void Machine::receive(Envelope envelope) {
   if (!components_) return;
   auto messenger = components_->messengers.find(envelope.slice);
-  if (messenger != components_->messengers.end()) messenger->second->take(std::move(envelope));
+  if (messenger != components_->messengers.end()) messenger->second->receive(std::move(envelope));
 }
 
 // ---- Cluster
@@ -133,10 +133,10 @@
   std::vector<MachineSetup> setups;
   for (const auto& each : machines_) setups.push_back(each->setup);
   const Roster roster = first_roster(setups, names);
-  for (const auto& seat : roster.seats) {
-    Bytes image = frame_entry(DiskEntry{.what = "identity", .holder = seat.holder, .address = seat.address}, 0);
+  for (const auto& voter : roster.voters) {
+    Bytes image = frame_entry(DiskEntry{.what = "identity", .holder = voter.holder, .address = voter.address}, 0);
     image += frame_entry(DiskEntry{.what = "roster", .roster = roster}, 0);
-    at(seat.address)->disk.set_content(std::move(image));
+    at(voter.address)->disk.set_content(std::move(image));
   }
 }
 
--- a/tests/model/planted_faults.cpp
+++ b/tests/model/planted_faults.cpp
@@ -58,7 +58,7 @@
   if (fault == PlantedFault::epoch_check_off && !envelope.reply) {
     if (envelope.kind == Store::kind) raise_epoch<Store>(receiver, envelope);
     if (envelope.kind == Install::kind) raise_epoch<Install>(receiver, envelope);
-    if (envelope.kind == Copies::kind) raise_epoch<Copies>(receiver, envelope);
+    if (envelope.kind == CopyRecords::kind) raise_epoch<CopyRecords>(receiver, envelope);
     if (envelope.kind == Confirm::kind) raise_epoch<Confirm>(receiver, envelope);
   }
   if (fault == PlantedFault::order_identity_ignored && !envelope.reply) remove_change_identities(envelope);
@@ -74,7 +74,7 @@
                                          const Envelope& envelope) {
   const Roster& roster = sender.roster;
   if (fault != PlantedFault::old_roster_majority || envelope.reply || roster.version.value < 2 ||
-      roster.seats.empty() || roster.seats.back().address != to || envelope.from == to)
+      roster.voters.empty() || roster.voters.back().address != to || envelope.from == to)
     return std::nullopt;
   if (envelope.kind == Promise::kind) {
     auto message = from_cbor<Promise>(envelope.body);
--- a/tests/platform_freshness_test.cpp
+++ b/tests/platform_freshness_test.cpp
@@ -26,8 +26,8 @@
   fixture.shared_state.lease_until = fixture.world.now().microseconds - 1;
   CHECK(post_status(fixture, handler, "/nowhere") == 503);
   // Without a lease the daemon keeps serving its last known configuration, which may lack the newest routes.
-  fixture.shared_state.lease_sought_since = fixture.world.now().microseconds - 1100000;
-  fixture.shared_state.gossip_tick = fixture.world.now().microseconds;
+  fixture.shared_state.lease_renewal_since = fixture.world.now().microseconds - 1100000;
+  fixture.shared_state.last_gossip_tick = fixture.world.now().microseconds;
   CHECK(post_status(fixture, handler, "/nowhere") == 503);
 }
 
@@ -39,10 +39,10 @@
   CHECK(readiness_status(handler) == 200);
   const std::int64_t now = fixture.world.now().microseconds;
   fixture.shared_state.lease_until = now - 5000000;
-  fixture.shared_state.lease_sought_since = now - 4000000;
-  fixture.shared_state.gossip_tick = now - 100000;
+  fixture.shared_state.lease_renewal_since = now - 4000000;
+  fixture.shared_state.last_gossip_tick = now - 100000;
   CHECK(readiness_status(handler) == 200);
-  fixture.shared_state.gossip_tick = now - 700000;
+  fixture.shared_state.last_gossip_tick = now - 700000;
   CHECK(readiness_status(handler) == 503);
 }
 
@@ -53,13 +53,13 @@
   running.seeds = {Address("10.0.0.1:7000")};
   Settings reread = running;
   reread.seeds = {Address("10.0.0.2:7000"), Address("10.0.0.3:7000")};
-  auto result = seeds_read_again(running, reread);
+  auto result = reloaded_seeds(running, reread);
   REQUIRE(error_of(result) == nullptr);
   CHECK(std::get<std::vector<Address>>(result) == reread.seeds);
   reread.seeds.clear();
-  CHECK(error_of(seeds_read_again(running, reread))->field == "seeds");
+  CHECK(error_of(reloaded_seeds(running, reread))->field == "seeds");
   reread = running;
   reread.address = Address("10.0.0.9:7000");
-  CHECK(error_of(seeds_read_again(running, reread))->field == "settings");
-  CHECK(error_of(seeds_read_again(running, Error{ErrorKind::invalid, "seed-list", "", ""}))->field == "seed-list");
+  CHECK(error_of(reloaded_seeds(running, reread))->field == "settings");
+  CHECK(error_of(reloaded_seeds(running, Error{ErrorKind::invalid, "seed-list", "", ""}))->field == "seed-list");
 }
--- a/tests/platform_operator_history.cpp
+++ b/tests/platform_operator_history.cpp
@@ -170,7 +170,7 @@
     if (is_over()) return;
     Machine& machine = random_serving_machine();
     const std::string zone = "zone-" + std::to_string(world_.random.below(operator_count));
-    if (StoreClient* client = machine.client(); client != nullptr && !machine.frozen())
+    if (StoreClient* client = machine.client(); client != nullptr && !machine.suspended())
       client->read("zone/" + zone, seconds(1), [this, zone, invoked = time()](Result<ReadReply> result) {
         auto* reply = std::get_if<ReadReply>(&result);
         if (reply == nullptr) return;
@@ -211,8 +211,8 @@
   // Picks a machine that owns the slot of the configuration or of zone-0, so that a fault hits calls in progress.
   Machine* random_owner() {
     for (const StringView key : {configuration_key, StringView("zone/zone-0")})
-      for (Machine* storage_node : cluster_.holders())
-        if (storage_node->alive() && !storage_node->frozen() && world_.random.below(3) > 0 &&
+      for (Machine* storage_node : cluster_.storage_nodes())
+        if (storage_node->alive() && !storage_node->suspended() && world_.random.below(3) > 0 &&
             storage_node->shared_state().owned.get()->slots.contains(slot_of(key)))
           return storage_node;
     return nullptr;
@@ -233,15 +233,15 @@
         ended();
       });
     } else if (selected_faults == FaultMix::owner_suspensions) {
-      machine->freeze();
+      machine->suspend();
       world_.after(duration, [machine, ended] {
-        machine->wake();
+        machine->resume();
         ended();
       });
     } else if (selected_faults == FaultMix::partitions) {
       partition(*machine, world_.random.below(3));
       world_.after(duration, [this, ended] {
-        world_.mend();
+        world_.heal();
         ended();
       });
     } else {
@@ -258,8 +258,8 @@
   void partition(Machine& machine, std::uint64_t direction) {
     for (auto& other : cluster_.machines) {
       if (other.get() == &machine) continue;
-      if (direction != 1) world_.cut(machine.name, other->name);
-      if (direction != 2) world_.cut(other->name, machine.name);
+      if (direction != 1) world_.partition(machine.name, other->name);
+      if (direction != 2) world_.partition(other->name, machine.name);
     }
   }
 
@@ -275,7 +275,7 @@
 RecordedHistory record_history(const HistoryPlan& plan) {
   World world(plan.seed * 7919 + 3);
   SimulatedCluster cluster(world, shape_named(plan.shape, 1.0));
-  cluster.watched = false;
+  cluster.checks_rules = false;
   OperatorApis apis(cluster);
   RecordedHistory failed;
   failed.converged = false;
--- a/tests/platform_orders_test.cpp
+++ b/tests/platform_orders_test.cpp
@@ -42,13 +42,13 @@
     "[orders]") {
   OperatorCluster operators(27);
   REQUIRE(start_and_wait(operators.cluster));
-  constexpr std::uint64_t changes = OrderHistory::most_remembered + 10;
+  constexpr std::uint64_t changes = OrderHistory::max_recorded + 10;
   Machine& machine = *operators.cluster.machines[0];
   for (std::uint64_t number = 1; number <= changes; ++number)
     REQUIRE(operators.apis.call(machine, replace_request(number - 1, number, "first")).status == 200);
   CHECK(operators.status(replace_request(0, 1, "first")) == 504);
   CHECK(operators.status(replace_request(0, 1, "other")) == 504);
-  const std::uint64_t oldest_kept = changes - OrderHistory::least_remembered + 1;
+  const std::uint64_t oldest_kept = changes - OrderHistory::min_recorded + 1;
   CHECK(operators.status(replace_request(oldest_kept - 1, oldest_kept, "first")) == 200);
   CHECK(operators.status(replace_request(oldest_kept - 1, oldest_kept, "other")) == 412);
   std::uint64_t entries = 0;
@@ -56,8 +56,8 @@
       std::string(configuration_key), seconds(2),
       [&](Result<ReadReply> result) { entries = std::get<ReadReply>(result).entries; }, true);
   operators.world.run_until(operators.world.now() + seconds(2));
-  CHECK(entries >= OrderHistory::least_remembered);
-  CHECK(entries < OrderHistory::most_remembered);
+  CHECK(entries >= OrderHistory::min_recorded);
+  CHECK(entries < OrderHistory::max_recorded);
 }
 
 TEST_CASE("operator calls: of two different changes with one revision and base, one is confirmed and the other refused",
@@ -211,19 +211,19 @@
   const OperatorRequest begin{"POST", "/v1/Evacuation.Begin/north"}, finish{"POST", "/v1/Evacuation.Finish/north"};
   Machine& other = *operators.cluster.machines[5];
   // The machine is suspended right after sending its read of the stored state; the operator then tries another daemon.
-  operators.world.points.clear();
+  operators.world.fault_point_counts.clear();
   operators.world.armed_kind = "send store.read";
-  operators.world.armed = 1;
-  operators.world.strike = [&](const std::string& machine_name) {
-    if (machine_name == suspended_machine.name) suspended_machine.freeze();
+  operators.world.armed_number = 1;
+  operators.world.inject_fault = [&](const std::string& machine_name) {
+    if (machine_name == suspended_machine.name) suspended_machine.suspend();
   };
   operators.apis.send(suspended_machine, begin, [](OperatorResponse) {});
   operators.world.run_until(operators.world.now() + milliseconds(100));
-  REQUIRE(suspended_machine.frozen());
+  REQUIRE(suspended_machine.suspended());
   operators.world.armed_kind.clear();
   REQUIRE(operators.apis.call(other, begin).status == 200);
   REQUIRE(operators.apis.call(other, finish).status == 200);
-  suspended_machine.wake();
+  suspended_machine.resume();
   operators.world.run_until(operators.world.now() + seconds(3));
   CHECK_FALSE(other.shared_state().configuration.get()->evacuated(ZoneId("north")));
 }
@@ -245,14 +245,14 @@
   Machine& isolated = *edges.back();
   for (auto& each : operators.cluster.machines)
     if (each.get() != &isolated)
-      operators.world.cut(isolated.name, each->name), operators.world.cut(each->name, isolated.name);
+      operators.world.partition(isolated.name, each->name), operators.world.partition(each->name, isolated.name);
   operators.world.run_until(operators.world.now() + seconds(8));
   for (const auto& request : {retire(*storage[0]), OperatorRequest{"POST", "/v1/Retire.Begin/nobody"}}) {
     const int status = operators.apis.call(isolated, request, seconds(9)).status;
     INFO(status);
     CHECK(status >= 500);
   }
-  operators.world.mend();
+  operators.world.heal();
   operators.world.run_until(operators.world.now() + seconds(3));
   // Of two concurrent retirements only one may be accepted.
   std::map<int, int> statuses;
--- a/tests/replicated_store_test.cpp
+++ b/tests/replicated_store_test.cpp
@@ -39,13 +39,15 @@
   std::size_t most = 0;
   for (int count = 0; count < 200; ++count) {
     world.run_until(world.now() + milliseconds(100));
-    for (Machine* storage_node : cluster.holders()) most = std::max(most, storage_node->kept()->removed_lots());
+    for (Machine* storage_node : cluster.storage_nodes())
+      most = std::max(most, storage_node->replicated_store()->removed_lots());
   }
   CHECK(accepted == 260);
   CHECK(most >= 200);
-  for (Machine* storage_node : cluster.holders())
-    if (cluster.any_alive().shared_state().configuration.get()->roster.seated(storage_node->kept()->identity()))
-      CHECK(storage_node->kept()->removed_lots() < 100);
+  for (Machine* storage_node : cluster.storage_nodes())
+    if (cluster.any_alive().shared_state().configuration.get()->roster.has_voter(
+            storage_node->replicated_store()->identity()))
+      CHECK(storage_node->replicated_store()->removed_lots() < 100);
   int reused_status = 0;
   cluster.control(
       *cluster.machines[4], "PUT", "/lots/" + ids[0], R"({"lane":"lines","items":["x"]})",
@@ -79,9 +81,9 @@
   World world(7);
   SimulatedCluster cluster(world, shape_named("small", 1.0));
   SimulatedDisk disk(world, "somewhere");
-  auto life = std::make_shared<Life>();
-  disk.own(life);
-  SimulatedTimers timers(world, life);
+  auto process = std::make_shared<ProcessState>();
+  disk.attach(process);
+  SimulatedTimers timers(world, process);
   SharedState shared_state;
   auto open = [&](const std::string& address, StorageNodeId* identity) {
     Member self;
@@ -95,9 +97,9 @@
       world.run_until(world.now() + milliseconds(5));
     }
     const auto* error = error_of(loaded);
-    life->alive = false;
-    life = std::make_shared<Life>();
-    disk.own(life);
+    process->alive = false;
+    process = std::make_shared<ProcessState>();
+    disk.attach(process);
     return error == nullptr ? std::string() : error->field;
   };
   StorageNodeId first, second, third;
@@ -115,18 +117,18 @@
       if (envelope.reply) last = std::move(envelope);
     }
     Envelope last;
-  } wire;
+  } transport;
   SimulatedDisk disk(world, "place");
   const Address self("10.0.0.1:1"), owner("10.0.0.2:1");
   const StorageNodeId third_node("mine"), owner_id("theirs");
   StorageNodeId identity;
   Roster roster;
   for (int run = 0; run < 2; ++run) {
-    auto life = std::make_shared<Life>();
-    disk.own(life);
-    SimulatedTimers timers(world, life);
+    auto process = std::make_shared<ProcessState>();
+    disk.attach(process);
+    SimulatedTimers timers(world, process);
     SharedState shared_state;
-    Messenger messenger(wire, timers, self, 1, "store");
+    Messenger messenger(transport, timers, self, 1, "store");
     Member member;
     member.address = self;
     ReplicatedStore store(messenger, shared_state, disk, world.random, member, {}, ReplicatedStore::Report{});
@@ -137,8 +139,8 @@
     world.run_until(world.now() + milliseconds(20));
     roster = Roster{Version{1}, {Voter{identity, self, ZoneId("h")}, Voter{owner_id, owner, ZoneId("h")}}};
     auto deliver = [&](const auto& message) {
-      messenger.take(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5, false,
-                              to_cbor(message), protocol_number});
+      messenger.receive(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5,
+                                 false, to_cbor(message), protocol_number});
       world.run_until(world.now() + milliseconds(20));
     };
     Change change;
@@ -148,24 +150,24 @@
     change.head = "new";
     if (run == 0) {
       deliver(Promise{identity, owner_id, 3, Epoch{7}, roster});
-      CHECK(from_cbor<PromiseReply>(wire.last.body)->granted);
+      CHECK(from_cbor<PromiseReply>(transport.last.body)->granted);
       deliver(Store{identity, owner_id, 3, Epoch{7}, Version{1}, change});
-      CHECK(from_cbor<StoreReply>(wire.last.body)->outcome == "stored");
+      CHECK(from_cbor<StoreReply>(transport.last.body)->outcome == "stored");
     }
     // A promise of the same epoch and messages of lower epochs are refused, before and after the restart. A message for
     // another identity gets an error.
     deliver(Promise{identity, third_node, 3, Epoch{7}, roster});
-    CHECK_FALSE(from_cbor<PromiseReply>(wire.last.body)->granted);
+    CHECK_FALSE(from_cbor<PromiseReply>(transport.last.body)->granted);
     change.stamp = Stamp{Epoch{6}, Version{9}};
     deliver(Store{identity, owner_id, 3, Epoch{6}, Version{1}, change});
-    CHECK(from_cbor<StoreReply>(wire.last.body)->outcome == "refused");
+    CHECK(from_cbor<StoreReply>(transport.last.body)->outcome == "refused");
     deliver(Promise{StorageNodeId("wiped"), owner_id, 3, Epoch{99}, roster});
-    CHECK(wire.last.kind == "fault");
-    deliver(Range{3});
-    const auto range = from_cbor<RangeReply>(wire.last.body);
+    CHECK(transport.last.kind == "fault");
+    deliver(ListStamps{3});
+    const auto range = from_cbor<ListStampsReply>(transport.last.body);
     REQUIRE(range->stamps.size() == 1);
     CHECK(range->stamps[0].stamp == Stamp{Epoch{7}, Version{1}});
-    life->alive = false;
+    process->alive = false;
   }
 }
 
@@ -182,16 +184,16 @@
     }
     Envelope last;
     std::deque<Envelope> requests;
-  } wire;
+  } transport;
   SimulatedDisk disk(world, "place");
   disk.set_capacity(disk_limit);
-  auto life = std::make_shared<Life>();
-  disk.own(life);
-  SimulatedTimers timers(world, life);
+  auto process = std::make_shared<ProcessState>();
+  disk.attach(process);
+  SimulatedTimers timers(world, process);
   SharedState shared_state;
   const Address self("10.0.0.1:1"), owner("10.0.0.2:1");
   const StorageNodeId owner_id("theirs");
-  Messenger messenger(wire, timers, self, 1, "store");
+  Messenger messenger(transport, timers, self, 1, "store");
   Member member;
   member.address = self;
   member.keeps = "lots";
@@ -203,12 +205,12 @@
   const StorageNodeId identity = store.identity();
   const Roster roster{Version{1}, {Voter{identity, self, ZoneId("h")}, Voter{owner_id, owner, ZoneId("h")}}};
   auto deliver = [&](const auto& message) {
-    messenger.take(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5, false,
-                            to_cbor(message), protocol_number});
+    messenger.receive(Envelope{owner, 1, "store", "store", std::string(std::decay_t<decltype(message)>::kind), 5, false,
+                               to_cbor(message), protocol_number});
     world.run_until(world.now() + milliseconds(20));
   };
   auto outcome = [&] {
-    return from_cbor<StoreReply>(wire.last.body)->outcome;
+    return from_cbor<StoreReply>(transport.last.body)->outcome;
   };
   std::vector<std::string> keys;
   for (int number = 0; keys.size() < 60; ++number)
@@ -218,10 +220,10 @@
   copy.key = keys[0];
   copy.stamp = copy.written = Stamp{Epoch{7}, Version{1}};
   copy.head = Bytes(1u << 20, 'l');
-  deliver(Copies{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
+  deliver(CopyRecords{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
   REQUIRE(outcome() == "stored");
   const std::size_t size_after_first = store.log().file_size();
-  deliver(Copies{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
+  deliver(CopyRecords{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
   CHECK(outcome() == "stored");
   CHECK(store.log().file_size() < size_after_first + 1000);
   std::size_t stored = 1;
@@ -239,49 +241,50 @@
   CHECK(store.counts().stores_refused_for_room == 1);
   CHECK_FALSE(store.log().failed());
   copy.key = keys.back();
-  deliver(Copies{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
+  deliver(CopyRecords{identity, owner_id, 3, Epoch{7}, Version{1}, {copy}});
   CHECK(outcome() == "refused");
   deliver(Promise{identity, owner_id, 3, Epoch{8}, roster});
-  CHECK(from_cbor<PromiseReply>(wire.last.body)->granted);
-  deliver(Range{3});
-  CHECK(from_cbor<RangeReply>(wire.last.body)->stamps.size() == stored);
+  CHECK(from_cbor<PromiseReply>(transport.last.body)->granted);
+  deliver(ListStamps{3});
+  CHECK(from_cbor<ListStampsReply>(transport.last.body)->stamps.size() == stored);
   // Another voter has one more record, which the repair fetches.
   copy.stamp = copy.written = Stamp{Epoch{8}, Version{1}};
   copy.head = Bytes(3u << 20, 'l');
   bool record_fetched = false;
   for (const TimePoint end = world.now() + seconds(3); world.now() < end;
        world.run_until(world.now() + milliseconds(20)))
-    for (; !wire.requests.empty(); wire.requests.pop_front()) {
-      const Envelope request = wire.requests.front();
+    for (; !transport.requests.empty(); transport.requests.pop_front()) {
+      const Envelope request = transport.requests.front();
       auto send_reply = [&](const auto& reply) {
-        messenger.take(
+        messenger.receive(
             Envelope{owner, 1, "store", "store", "reply", request.call, true, to_cbor(reply), protocol_number});
       };
       if (request.kind == Digests::kind) send_reply(DigestsReply{std::vector<std::uint64_t>(slot_count, 1)});
-      if (request.kind == Range::kind && from_cbor<Range>(request.body)->slot == 3) send_reply(RangeReply{{copy}});
+      if (request.kind == ListStamps::kind && from_cbor<ListStamps>(request.body)->slot == 3)
+        send_reply(ListStampsReply{{copy}});
       if (request.kind == FetchRecords::kind) send_reply(RecordsReply{{copy}}), record_fetched = true;
     }
   CHECK(record_fetched);
   CHECK_FALSE(store.log().failed());
   CHECK_FALSE(shared_state.stalled.load());
-  life->alive = false;
+  process->alive = false;
 }
 
 TEST_CASE("configuration updates never go back to a lower stamp, whatever their order of arrival") {
   class DiscardingTransport : public Transport {
    public:
     void send(const Address&, Envelope) override {}
-  } wire;
+  } transport;
   World world(10);
-  SimulatedTimers timers(world, std::make_shared<Life>());
-  Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "news");
+  SimulatedTimers timers(world, std::make_shared<ProcessState>());
+  Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
   ConfigurationGossip gossip(messenger, shared_state, world.random, false);
   auto push_update = [&](std::uint64_t epoch, std::uint64_t version, bool removed) {
     PushUpdates updates;
     updates.items.push_back(ConfigurationUpdate{"zone/h", Stamp{Epoch{epoch}, Version{version}}, removed,
                                                 version % 2 == 0 ? R"({"evacuated":true})" : "{}"});
-    messenger.take(
+    messenger.receive(
         Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.spread", 0, false, to_cbor(updates), protocol_number});
   };
   auto evacuated = [&] {
@@ -306,26 +309,26 @@
    public:
     void send(const Address&, Envelope envelope) override { sent.push_back(std::move(envelope)); }
     std::vector<Envelope> sent;
-  } wire;
+  } transport;
   World world(8);
-  SimulatedTimers timers(world, std::make_shared<Life>());
-  Messenger messenger(wire, timers, Address("10.0.0.1:1"), 1, "news");
+  SimulatedTimers timers(world, std::make_shared<ProcessState>());
+  Messenger messenger(transport, timers, Address("10.0.0.1:1"), 1, "news");
   SharedState shared_state;
   ConfigurationGossip gossip(messenger, shared_state, world.random, false);
-  messenger.take(Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.compare", 5, false, to_cbor(Compare{}),
-                          protocol_number + 1});
-  REQUIRE(wire.sent.size() == 1);
-  CHECK((wire.sent[0].reply && wire.sent[0].kind == "fault" && wire.sent[0].call == 5));
-  CHECK(from_cbor<WireError>(wire.sent[0].body)->field == "protocol");
+  messenger.receive(Envelope{Address("10.0.0.2:1"), 1, "news", "news", "news.compare", 5, false, to_cbor(Compare{}),
+                             protocol_number + 1});
+  REQUIRE(transport.sent.size() == 1);
+  CHECK((transport.sent[0].reply && transport.sent[0].kind == "fault" && transport.sent[0].call == 5));
+  CHECK(from_cbor<WireError>(transport.sent[0].body)->field == "protocol");
   // In the other direction, an error from a newer daemon reaches the sender of the request.
   std::string error_field;
   messenger.request(Address("10.0.0.2:1"), Compare{}, milliseconds(100),
                     [&](Result<CompareReply> result) { error_field = error_of(result)->field; });
-  Envelope refusal = wire.sent[0];
+  Envelope refusal = transport.sent[0];
   refusal.from = Address("10.0.0.2:1");
-  refusal.call = wire.sent.back().call;
+  refusal.call = transport.sent.back().call;
   refusal.protocol = protocol_number + 1;
-  messenger.take(refusal);
+  messenger.receive(refusal);
   CHECK(error_field == "protocol");
 }
 
@@ -347,7 +350,7 @@
   world.run_until(world.now() + seconds(3));
   REQUIRE(accepted == 12);
   auto owner = [&]() -> Machine* {
-    for (Machine* storage_node : cluster.holders())
+    for (Machine* storage_node : cluster.storage_nodes())
       if (storage_node->alive() && !storage_node->serves() &&
           storage_node->shared_state().owned.get()->slots.contains(3))
         return storage_node;
@@ -373,7 +376,8 @@
   first->kill(true);
   first->start();
   world.run_until(world.now() + seconds(6));
-  CHECK(cluster.any_alive().shared_state().configuration.get()->lot_roster.seated(first->kept()->identity()));
+  CHECK(cluster.any_alive().shared_state().configuration.get()->lot_roster.has_voter(
+      first->replicated_store()->identity()));
   CHECK(bytes() - at_wipe > 3600000);
   CHECK(bytes() - at_wipe < 9000000);
   CHECK(cluster.longest_message < 1400000);
@@ -401,8 +405,8 @@
   REQUIRE(accepted == 30);
   auto retirement_status = [&] {
     RetirementReply reply;
-    cluster.retirement(std::string(lot_roster_key), leaving.address,
-                       [&](RetirementReply received) { reply = received; });
+    cluster.query_retirement(std::string(lot_roster_key), leaving.address,
+                             [&](RetirementReply received) { reply = received; });
     world.run_until(world.now() + milliseconds(100));
     return reply;
   };
@@ -414,9 +418,9 @@
   // The owner of the roster's key reports this. The other daemons learn it a moment later by gossip.
   world.run_until(world.now() + milliseconds(600));
   const Roster roster = cluster.any_alive().shared_state().configuration.get()->lot_roster;
-  CHECK(roster.seats.size() == 3);
-  for (const auto& voter : roster.seats) CHECK(voter.address != leaving.address);
-  for (const auto& voter : roster.seats) CHECK(voter.name == cluster.machine_at(voter.address)->name);
+  CHECK(roster.voters.size() == 3);
+  for (const auto& voter : roster.voters) CHECK(voter.address != leaving.address);
+  for (const auto& voter : roster.voters) CHECK(voter.name == cluster.find_machine(voter.address)->name);
   // The retired machine is lost with its disk, and another machine loses its disk at the same time.
   leaving.kill(true);
   cluster.machines[11]->kill(true);
@@ -435,7 +439,7 @@
                   "/v1/resources/holder/" + cluster.machines[9]->address.text + "?version=0", R"({"retired":true})",
                   [&](int status, const std::string&) { refused = status; });
   world.run_until(world.now() + seconds(2));
-  CHECK((refused == 409 || cluster.any_alive().shared_state().configuration.get()->lot_roster.seats.size() > 3));
+  CHECK((refused == 409 || cluster.any_alive().shared_state().configuration.get()->lot_roster.voters.size() > 3));
 }
 
 TEST_CASE("the slots of a lost owner are taken over within 1.5 seconds, in both groups") {
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -15,7 +15,7 @@
  public:
   MAKE_MOCK2(start, Id(const AttemptRequest&, std::shared_ptr<AttemptObserver>), override);
   MAKE_MOCK1(cancel, void(Id), override);
-  MAKE_MOCK2(hold, void(Id, bool), override);
+  MAKE_MOCK2(set_paused, void(Id, bool), override);
 };
 
 // Drops all messages to other daemons.
@@ -25,40 +25,40 @@
 };
 
 // What a client received.
-struct Seen {
+struct ReceivedResponse {
   int status = 0;
   std::string outcome, retry_after, text;
   bool ended = false, broken = false;
 };
 
-// Records the response of a request in a Seen.
-class SeeingCaller : public ResponseSink {
+// Records the response of a request in a ReceivedResponse.
+class RecordingSink : public ResponseSink {
  public:
-  explicit SeeingCaller(std::shared_ptr<Seen> seen) : seen_(std::move(seen)) {}
+  explicit RecordingSink(std::shared_ptr<ReceivedResponse> seen) : response_(std::move(seen)) {}
   void head(int status, const std::vector<Header>& headers) override {
-    CHECK(seen_->status == 0);
-    seen_->status = status;
+    CHECK(response_->status == 0);
+    response_->status = status;
     for (const auto& header : headers) {
-      if (header.name == "X-Mothwalk-Outcome") seen_->outcome = header.value;
-      if (header.name == "Retry-After") seen_->retry_after = header.value;
+      if (header.name == "X-Mothwalk-Outcome") response_->outcome = header.value;
+      if (header.name == "Retry-After") response_->retry_after = header.value;
     }
   }
-  void piece(StringView piece) override { seen_->text.append(piece); }
-  void end() override { seen_->ended = true; }
-  void break_off() override { seen_->broken = true; }
+  void chunk(StringView chunk) override { response_->text.append(chunk); }
+  void end() override { response_->ended = true; }
+  void abort() override { response_->broken = true; }
   std::size_t backlog() const override { return backlog_; }
   std::size_t backlog_ = 0;
 
  private:
-  std::shared_ptr<Seen> seen_;
+  std::shared_ptr<ReceivedResponse> response_;
 };
 
 // A router in a daemon with a lease, with three runners in the circle of the kind "model" and one runner outside it.
 // Requests of the lane "pay" may not be repeated, those of the lane "tell" may.
 struct Fixture {
   simulate::World world{7};
-  simulate::LifePointer life = std::make_shared<simulate::Life>();
-  simulate::SimulatedTimers timers{world, life};
+  simulate::ProcessPointer process = std::make_shared<simulate::ProcessState>();
+  simulate::SimulatedTimers timers{world, process};
   DiscardingTransport transport;
   Messenger messenger{transport, timers, Address("10.0.0.1:1"), 1, "routes"};
   SharedState shared_state;
@@ -66,7 +66,7 @@
   Router router;
   struct Attempt {
     AttemptRequest request;
-    std::shared_ptr<AttemptObserver> watcher;
+    std::shared_ptr<AttemptObserver> observer;
   };
   std::vector<Attempt> attempts;
 
@@ -80,7 +80,7 @@
   ConfigurationView view;
   // Puts a resource, given as JSON, into the router's configuration.
   void put(const std::string& key, const Bytes& value) {
-    REQUIRE(put_in_view(view, key, &value, Stamp{}));
+    REQUIRE(apply_to_view(view, key, &value, Stamp{}));
     shared_state.configuration.set(view);
   }
   explicit Fixture(const Dialect& dialect = plain_dialect())
@@ -98,18 +98,18 @@
     shared_state.members.set(members);
     world.run_until(TimePoint{10000000});
     lease();
-    shared_state.gossip_tick = 0;
+    shared_state.last_gossip_tick = 0;
     router.start();
   }
   void lease() { shared_state.lease_until = (world.now() + std::chrono::hours(1)).microseconds; }
   void wait(Duration span) { world.run_until(world.now() + span); }
   // Submits a request to the router, and returns what its client will have received.
-  std::shared_ptr<Seen> submit(const std::string& target, Router::Id* id = nullptr,
-                               std::shared_ptr<SeeingCaller>* sink_out = nullptr) {
-    auto seen = std::make_shared<Seen>();
-    auto sink = std::make_shared<SeeingCaller>(seen);
+  std::shared_ptr<ReceivedResponse> submit(const std::string& target, Router::Id* id = nullptr,
+                                           std::shared_ptr<RecordingSink>* sink_out = nullptr) {
+    auto seen = std::make_shared<ReceivedResponse>();
+    auto sink = std::make_shared<RecordingSink>(seen);
     if (sink_out != nullptr) *sink_out = sink;
-    const auto request_id = router.arrive(LiveRequest{"POST",
+    const auto request_id = router.submit(LiveRequest{"POST",
                                                       target,
                                                       {{"Connection", "keep-alive"}, {"X-Request-Id", "r"}},
                                                       std::make_shared<const Bytes>("body")},
